--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use walkpick::{Class, Effect, Scope, ServerId};
+use walkpick::{Class, DedupScope, Effect, ServerId};
 
 /// Rule on cold servers: it is broken where this part of the work came from nodes that knew of the start.
 const TOLD_PART: f64 = 2.0 / 3.0;
@@ -83,7 +83,7 @@
     match effect {
         Effect::Safe => true,
         Effect::Unsafe => !may_have_run,
-        Effect::Keyed { scope, .. } => !may_have_run || scope == Scope::All,
+        Effect::Keyed { scope, .. } => !may_have_run || scope == DedupScope::All,
     }
 }
 
@@ -337,7 +337,8 @@
             let kind = &kinds[ask.kind];
             let worth = kind.class.worth * ask.work_us / SECOND as f64;
             let took = at.map(|at| at.saturating_sub(ask.at));
-            let in_time = end == End::Served && took.is_some_and(|took| took <= micros(kind.class.aim));
+            let in_time =
+                end == End::Served && took.is_some_and(|took| took <= micros(kind.class.latency_target));
             let served = if in_time { worth } else { 0.0 };
             let place = ((ask.at - lead) / SECOND) as usize;
             if series.len() <= place {
--- a/lab/src/measure/decisions.rs
+++ b/lab/src/measure/decisions.rs
@@ -87,7 +87,7 @@
         let class = |i: usize| Class {
             name: format!("class-{i}").as_str().into(),
             effect: Effect::Safe,
-            aim: Duration::from_millis(500),
+            latency_target: Duration::from_millis(500),
             ..Class::default()
         };
         let tenant = |i: usize| Tenant { name: format!("tenant-{i}").as_str().into(), quota_per_s: 1_000.0 };
@@ -157,7 +157,7 @@
                 attempt,
                 server,
                 status,
-                note: None,
+                cache_status: None,
                 took: answered_after,
                 finished: status == Status::Ok,
                 load: LoadReport::default(),
--- a/lab/src/measure/trials/node_play.rs
+++ b/lab/src/measure/trials/node_play.rs
@@ -148,15 +148,15 @@
             zone: Some("zone-0".into()),
             nodes: setting.nodes,
             classes: kinds.iter().map(|kind| kind.class.clone()).collect(),
-            sized: false,
+            nominal_weights: false,
             max_attempts: 5,
             max_retry_after: Duration::from_secs(2),
             connect_timeout: Duration::from_micros(CONNECT),
             keepalive: Duration::from_micros(KEEPALIVE),
             cold_share: COLD_SHARE,
             warm_within: Duration::from_micros(WARM),
-            fall_multiple: 3.0,
-            fall_span: Duration::from_millis(1_500),
+            overload_multiple: 3.0,
+            overload_window: Duration::from_millis(1_500),
             ..Settings::default()
         };
         let bins = (setting.length / BIN) as usize + 1;
@@ -240,7 +240,7 @@
                 }
             }
             Action::Log(text) => self.hears(&text),
-            Action::Cancel { .. } | Action::Probe { .. } | Action::Follow => {}
+            Action::Cancel { .. } | Action::Probe { .. } | Action::Subscribe => {}
         }
     }
 
@@ -314,7 +314,7 @@
         let server = entry(self.setting, server, None).id;
         let took = Duration::from_micros(self.now - sent);
         let (finished, load) = (status == Status::Ok, LoadReport::default());
-        let outcome = Outcome { id, attempt, server, status, note: None, took, finished, load };
+        let outcome = Outcome { id, attempt, server, status, cache_status: None, took, finished, load };
         self.feed(Event::Outcome(outcome));
     }
 }
--- a/lab/src/model/clients.rs
+++ b/lab/src/model/clients.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand_distr::{Distribution, Zipf};
 use std::time::Duration;
-use walkpick::{Class, Effect, Scope};
+use walkpick::{Class, DedupScope, Effect};
 
 /// A class of requests, as clients send it.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
         class: Class {
             name: name.into(),
             effect,
-            aim: ms(aim),
+            latency_target: ms(aim),
             deadline: ms(deadline),
             worth,
             late_worth: 0.0,
@@ -40,7 +40,7 @@
         cv,
         write: effect != Effect::Safe,
     };
-    let keyed = Effect::Keyed { scope: Scope::All, window: ms(3_000) };
+    let keyed = Effect::Keyed { scope: DedupScope::All, window: ms(3_000) };
     vec![
         kind("sub-view", 0.605, 86, 1.1, 500, 1_000, 3.0, Effect::Safe),
         kind("catalogue", 0.36, 155, 1.0, 1_200, 4_000, 1.0, Effect::Safe),
@@ -92,7 +92,7 @@
     match (end, effect) {
         (End::Served, _) => false,
         (End::Refused | End::Unreached, _) | (_, Effect::Safe) => true,
-        (_, Effect::Keyed { scope, window }) => scope == Scope::All && since_first < micros(window),
+        (_, Effect::Keyed { scope, window }) => scope == DedupScope::All && since_first < micros(window),
         (_, Effect::Unsafe) => false,
     }
 }
--- a/lab/src/model/discovery.rs
+++ b/lab/src/model/discovery.rs
@@ -72,7 +72,7 @@
         let list = &mut self.agents[node].list;
         for entry in entries.iter() {
             match entry.availability {
-                Availability::Gone => drop(list.remove(&entry.id)),
+                Availability::Removed => drop(list.remove(&entry.id)),
                 _ => drop(list.insert(entry.id.clone(), entry.clone())),
             }
         }
--- a/lab/src/model/fleet.rs
+++ b/lab/src/model/fleet.rs
@@ -178,7 +178,7 @@
 
     /// All servers that are not gone, as discovery lists them.
     pub fn entries(&self) -> Vec<ServerEntry> {
-        let there = self.machines.iter().filter(|machine| machine.availability != Availability::Gone);
+        let there = self.machines.iter().filter(|machine| machine.availability != Availability::Removed);
         there.map(|machine| machine.entry.clone()).collect()
     }
 
@@ -426,11 +426,11 @@
         let Some(&server) = met.get(step / 2) else { return };
         let span = micros(fault.to).saturating_sub(micros(fault.from));
         let pace = span / (2 * met.len()).max(1) as Micros;
-        let state = if step.is_multiple_of(2) { Availability::Draining } else { Availability::Gone };
+        let state = if step.is_multiple_of(2) { Availability::Draining } else { Availability::Removed };
         let machine = &mut self.machines[server];
         (machine.availability, machine.entry.availability) = (state, state);
         let (zone, mut changed) = (machine.zone, vec![machine.entry.clone()]);
-        if state == Availability::Gone {
+        if state == Availability::Removed {
             out.push(Out::Reach);
             let new = self.add(zone, Some(now));
             changed.push(self.machines[new].entry.clone());
--- a/lab/src/model/server.rs
+++ b/lab/src/model/server.rs
@@ -236,7 +236,11 @@
         }
         let (_, busy, waiting) = self.reported.unwrap_or_default();
         let noisy = |value: f64| value * (1.0 + NOISE * (2.0 * noise - 1.0));
-        LoadReport { service_time: None, busy: Some(noisy(busy).min(1.0)), waiting: Some(noisy(waiting)) }
+        LoadReport {
+            service_time: None,
+            utilization: Some(noisy(busy).min(1.0)),
+            queue_length: Some(noisy(waiting)),
+        }
     }
 
     /// A probe comes, and costs it work. Whether it takes it: it does not when its table of connections is full.
--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -100,9 +100,9 @@
         let settings = Settings {
             nodes: parts.nodes,
             classes: kinds.iter().map(|kind| kind.class.clone()).collect(),
-            sized: false,
+            nominal_weights: false,
             max_attempts: MOST_ATTEMPTS,
-            second_copies: true,
+            hedging: true,
             cancelling: true,
             probing: parts.probes,
             max_retry_after: Duration::from_secs(2),
@@ -110,8 +110,8 @@
             keepalive: Duration::from_micros(KEEPALIVE),
             cold_share: parts.cold_share,
             warm_within: parts.warm,
-            fall_multiple: FALL_MULTIPLE,
-            fall_span: Duration::from_micros(FALL_SPAN),
+            overload_multiple: FALL_MULTIPLE,
+            overload_window: Duration::from_micros(FALL_SPAN),
             ..Settings::default()
         };
         Self { experiment: experiment.clone(), seed, kinds, settings, zones, asks, keys: keys as u64, origin }
--- a/lab/src/policies.rs
+++ b/lab/src/policies.rs
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use walkpick::{
-    Action, Availability, Balancer, Class, ClassId, Effect, EndReason, Event, LoadReport, Note, Outcome,
-    Request, RequestId, ServerEntry, ServerId, ServerList, Settings, Status, Timestamp,
+    Action, Availability, Balancer, CacheStatus, Class, ClassId, Effect, EndReason, Event, LoadReport,
+    Outcome, Request, RequestId, ServerEntry, ServerId, ServerList, Settings, Status, Timestamp,
 };
 
 /// A decision module, as a node hosts it.
@@ -74,8 +74,9 @@
             fleet.machines[place].server.keep(key);
         }
         let (took, load) = (Duration::from_millis(1), LoadReport::default());
-        let (status, note) = (Status::Ok, Some(Note::Hit));
-        let outcome = Outcome { id, attempt: 0, server, status, note, took, finished: true, load };
+        let (status, note) = (Status::Ok, Some(CacheStatus::Hit));
+        let outcome =
+            Outcome { id, attempt: 0, server, status, cache_status: note, took, finished: true, load };
         module.handle(Timestamp::from_micros(now), Event::Outcome(outcome), &mut actions);
     }
 }
@@ -117,7 +118,7 @@
         match first.filter(|(takes, _)| *takes < left) {
             Some((_, server)) => {
                 let (server, timeout) = (server.clone(), request.valid_until.since(now));
-                actions.push(Action::Send { id: id.clone(), server, timeout, begin_within: None });
+                actions.push(Action::Send { id: id.clone(), server, timeout, start_within: None });
                 self.open.insert(id, (request, attempt));
             }
             None if attempt == 0 => {
@@ -266,7 +267,7 @@
             self.servers.retain(|id, _| list.iter().any(|entry| entry.id == *id));
         }
         for entry in list {
-            if entry.availability == Availability::Gone && self.how != How::Blind {
+            if entry.availability == Availability::Removed && self.how != How::Blind {
                 self.servers.remove(&entry.id);
                 continue;
             }
@@ -306,7 +307,7 @@
             *state = state.sent();
         }
         let timeout = request.valid_until.since(now);
-        actions.push(Action::Send { id: id.clone(), server, timeout, begin_within: None });
+        actions.push(Action::Send { id: id.clone(), server, timeout, start_within: None });
         self.open.insert(id, (request, attempt));
     }
 
--- a/lab/src/real/agent.rs
+++ b/lab/src/real/agent.rs
@@ -95,7 +95,7 @@
     let health = match entry.availability {
         Availability::Ready => "ready",
         Availability::Draining => "draining",
-        Availability::Gone => "gone",
+        Availability::Removed => "gone",
     };
     let off = node.clock_s * 1_000_000.0;
     let born = |at: Micros| ((at as f64 - off) / 1_000.0).max(1.0) as u64;
--- a/lab/src/real/lab.rs
+++ b/lab/src/real/lab.rs
@@ -499,7 +499,7 @@
                 let mut ways = self.links.ways(i, Party::Server, server);
                 ways.there.silent |= machine.mute();
                 ways.back.silent |= machine.mute();
-                let down = machine.availability == Availability::Gone;
+                let down = machine.availability == Availability::Removed;
                 apply(link, Conditions { ways, down, ..Conditions::default() });
             }
             for (party, link) in [(Party::Client, &node.clients), (Party::Discovery, &node.discovery)] {
--- a/lab/src/real/nodes.rs
+++ b/lab/src/real/nodes.rs
@@ -12,7 +12,7 @@
 use std::io;
 use std::rc::Rc;
 use tokio::sync::watch;
-use walkpick::{Effect, Scope};
+use walkpick::{DedupScope, Effect};
 
 /// The first nodes are everybody's seeds.
 const SEEDS: usize = 3;
@@ -176,17 +176,17 @@
         .iter()
         .map(|class| {
             let (effect, scope, window) = match class.effect {
-                Effect::Safe => ("safe", Scope::All, 0),
-                Effect::Unsafe => ("unsafe", Scope::All, 0),
+                Effect::Safe => ("safe", DedupScope::All, 0),
+                Effect::Unsafe => ("unsafe", DedupScope::All, 0),
                 Effect::Keyed { scope, window } => ("keyed", scope, us(window)),
             };
             let scope = match scope {
-                Scope::All => "all",
-                Scope::Zone => "zone",
-                Scope::Cell => "cell",
+                DedupScope::All => "all",
+                DedupScope::Zone => "zone",
+                DedupScope::Cell => "cell",
             };
             json!({"name": class.name.as_str(), "effect": effect, "dedup_scope": scope, "repeat_window_us": window,
-                   "promise_us": us(class.aim), "hard_limit_us": us(class.deadline), "worth": class.worth,
+                   "promise_us": us(class.latency_target), "hard_limit_us": us(class.deadline), "worth": class.worth,
                    "late_value": class.late_worth})
         })
         .collect();
@@ -196,12 +196,12 @@
         "az": zones[node.zone], "zones": zones, "balancers": known.nodes, "membership_mode": "automatic",
         "lanes": lanes, "orgs": [], "weights": "live", "tick_us": 5_000,
         "report": {"fields": ["util", "queue"], "source": if reports { "answers" } else { "none" }},
-        "limits": {"cancelling": known.cancelling, "probing": known.probing, "second_copies": known.second_copies,
+        "limits": {"cancelling": known.cancelling, "probing": known.probing, "second_copies": known.hedging,
                    "most_tries": known.max_attempts, "retry_after": true,
                    "max_retry_after_us": us(known.max_retry_after),
                    "connect_timeout_us": us(known.connect_timeout), "keepalive_us": us(known.keepalive)},
         "safety": {"cold_share": known.cold_share, "warm_within_us": us(known.warm_within),
-                   "fall_multiple": known.fall_multiple, "fall_us": us(known.fall_span),
+                   "fall_multiple": known.overload_multiple, "fall_us": us(known.overload_window),
                    "grace_to_answer_us": 20_000, "stop_sending_within_us": 250_000},
     })
 }
--- a/lab/src/real/servers.rs
+++ b/lab/src/real/servers.rs
@@ -55,7 +55,7 @@
 
 /// A load report as a header has it, where there is one.
 fn written(load: &LoadReport) -> Option<HeaderValue> {
-    let text = format!("util={:.3},queue={:.1}", load.busy?, load.waiting?);
+    let text = format!("util={:.3},queue={:.1}", load.utilization?, load.queue_length?);
     HeaderValue::from_str(&text).ok()
 }
 
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use walkpick::{
-    Action, Availability, ClassId, Event as NodeEvent, LoadReport, Note, Outcome, Request, RequestId,
+    Action, Availability, CacheStatus, ClassId, Event as NodeEvent, LoadReport, Outcome, Request, RequestId,
     ServerEntry, ServerId, ServerList, Settings, Status, Timestamp,
 };
 
@@ -431,7 +431,7 @@
                 }
             }
             Action::Probe { server } => self.probe(node, server),
-            Action::Cancel { .. } | Action::Follow | Action::Log(_) => {}
+            Action::Cancel { .. } | Action::Subscribe | Action::Log(_) => {}
         }
     }
 
@@ -508,7 +508,7 @@
             idle.clear();
         }
         let ways = self.links.ways(node, Party::Server, server);
-        let (silent, gone) = (machine.mute() || ways.silent(), machine.availability == Availability::Gone);
+        let (silent, gone) = (machine.mute() || ways.silent(), machine.availability == Availability::Removed);
         let refused = fresh && !silent && (gone || !machine.server.accepts());
         let (attempt, send) = (self.tickets[ticket].sends.len() as u32, self.sends.len());
         self.record.attempts += 1;
@@ -556,7 +556,7 @@
     }
 
     /// An attempt has ended for its node, if it was still out.
-    fn outcome(&mut self, send: SendId, status: Status, note: Option<Note>) {
+    fn outcome(&mut self, send: SendId, status: Status, note: Option<CacheStatus>) {
         let sent = &mut self.sends[send];
         let (ticket, server, took) = (sent.ticket, sent.server, self.now - sent.at);
         if std::mem::replace(&mut sent.ended, true) {
@@ -585,7 +585,7 @@
             let write = self.plan.kinds[self.plan.asks[self.tickets[ticket].ask].kind].write;
             if !write {
                 self.record.reads.0 += 1;
-                self.record.reads.1 += u64::from(note == Some(Note::Miss));
+                self.record.reads.1 += u64::from(note == Some(CacheStatus::Miss));
             }
         }
         let finished = self.tickets[ticket].answered;
@@ -597,7 +597,16 @@
         let took = Duration::from_micros(took);
         self.feed(
             node,
-            NodeEvent::Outcome(Outcome { id, attempt, server, status, note, took, finished, load }),
+            NodeEvent::Outcome(Outcome {
+                id,
+                attempt,
+                server,
+                status,
+                cache_status: note,
+                took,
+                finished,
+                load,
+            }),
         );
     }
 
@@ -661,8 +670,8 @@
 
     fn answered(&mut self, send: SendId, said: Said) {
         let (status, note) = match said {
-            Said::Hit => (Status::Ok, Some(Note::Hit)),
-            Said::Miss => (Status::Ok, Some(Note::Miss)),
+            Said::Hit => (Status::Ok, Some(CacheStatus::Hit)),
+            Said::Miss => (Status::Ok, Some(CacheStatus::Miss)),
             Said::Error => (Status::Failed, None),
             Said::Broken => (Status::Reset, None),
             Said::Full => (Status::QueueFull, None),
--- a/src/api.rs
+++ b/src/api.rs
@@ -74,7 +74,7 @@
 
 /// Which servers discard a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     /// Any server does.
     All,
     /// Those of the zone the request was first sent to.
@@ -91,7 +91,7 @@
     /// No harm within `scope` for `window` from the first send that may have run.
     Keyed {
         /// The servers that discard repeats.
-        scope: Scope,
+        scope: DedupScope,
         /// For how long they do.
         window: Duration,
     },
@@ -107,7 +107,7 @@
     /// What a repeat does.
     pub effect: Effect,
     /// Answers within this time are worth most.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Clients give up for good after this time.
     pub deadline: Duration,
     /// What an answer is worth.
@@ -122,7 +122,7 @@
         Self {
             name: "".into(),
             effect: Effect::Unsafe,
-            aim: Duration::from_millis(500),
+            latency_target: Duration::from_millis(500),
             deadline: Duration::from_secs(1),
             worth: 1.0,
             late_worth: 0.0,
@@ -167,13 +167,13 @@
     /// Where missing values come from.
     pub mode: CacheMode,
     /// Whether the weights of servers tell their speed, and not just how many cores they have.
-    pub sized: bool,
+    pub nominal_weights: bool,
     /// Whether the list must be asked for (`Follow`) rather than pushed.
-    pub must_follow: bool,
+    pub must_subscribe: bool,
     /// Attempts a request may have.
     pub max_attempts: u32,
     /// Whether two attempts of a request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancelling: bool,
     /// Whether servers may be probed.
@@ -189,9 +189,9 @@
     /// A fresh server is warm after this time.
     pub warm_within: Duration,
     /// A cold server sent more than this multiple of its present capacity falls over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// The span over which that is counted.
-    pub fall_span: Duration,
+    pub overload_window: Duration,
 }
 
 impl Default for Settings {
@@ -203,10 +203,10 @@
             tenants: Vec::new(),
             over_share_worth: 1.0,
             mode: CacheMode::Through,
-            sized: true,
-            must_follow: false,
+            nominal_weights: true,
+            must_subscribe: false,
             max_attempts: 3,
-            second_copies: false,
+            hedging: false,
             cancelling: false,
             probing: false,
             max_retry_after: Duration::ZERO,
@@ -214,8 +214,8 @@
             keepalive: Duration::from_secs(15),
             cold_share: 0.3,
             warm_within: Duration::from_secs(10),
-            fall_multiple: 2.0,
-            fall_span: Duration::from_secs(1),
+            overload_multiple: 2.0,
+            overload_window: Duration::from_secs(1),
         }
     }
 }
@@ -228,7 +228,7 @@
     /// Finishes its work and must be sent no more.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One server, as discovery lists it.
@@ -349,14 +349,14 @@
     /// Recent service time without waiting.
     pub service_time: Option<Duration>,
     /// How busy its cores are, 0 to 1.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// Requests that wait for a core.
-    pub waiting: Option<f64>,
+    pub queue_length: Option<f64>,
 }
 
 /// What a cache server says of how it came by an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum CacheStatus {
     /// It held the value.
     Hit,
     /// It did not.
@@ -377,7 +377,7 @@
     /// How it ended.
     pub status: Status,
     /// Where the answer came from.
-    pub note: Option<Note>,
+    pub cache_status: Option<CacheStatus>,
     /// Time since it was sent.
     pub took: Duration,
     /// The request has its final answer.
@@ -395,7 +395,7 @@
     Servers(ServerList),
     /// So many nodes there are, in place of [`Settings::nodes`]; whoever says so has made sure that a node which is
     /// merely cut off is not told fewer.
-    Nodes(u32),
+    NodeCount(u32),
     /// A client asks.
     Request(Request),
     /// An attempt's answer has begun to stream to the client.
@@ -450,7 +450,7 @@
         timeout: Duration,
         /// The attempt may begin within this time alone, however long its connection takes to come up: later, a
         /// repeat may run twice. `None` where it may begin at any time.
-        begin_within: Option<Duration>,
+        start_within: Option<Duration>,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -491,7 +491,7 @@
         server: ServerId,
     },
     /// Ask discovery to push changes.
-    Follow,
+    Subscribe,
     /// A line for whoever is on call.
     Log(String),
 }
--- a/src/bin/walkpick-adapter.rs
+++ b/src/bin/walkpick-adapter.rs
@@ -4,7 +4,7 @@
 use std::io::{self, BufRead, BufReader, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
-use walkpick::wire::{end_reply, write_action, write_fault, Input, Parser};
+use walkpick::wire::{end_reply, write_action, write_panic, Input, Parser};
 use walkpick::{Action, Balancer, Event, Timestamp};
 
 fn main() -> ExitCode {
@@ -29,21 +29,21 @@
         if input.read_line(&mut line)? == 0 {
             return Ok(());
         }
-        match parser.line(&line)? {
+        match parser.parse_line(&line)? {
             None => {}
             Some(Input::Tick(at)) => now = at,
-            Some(Input::Start { who, seed, settings }) => {
+            Some(Input::Start { instance: who, seed, settings }) => {
                 instances.insert(who, Balancer::new(*settings, seed));
             }
-            Some(Input::Stop { who }) => {
+            Some(Input::Stop { instance: who }) => {
                 instances.remove(&who);
             }
-            Some(Input::Event { who, event }) => {
+            Some(Input::Event { instance: who, event }) => {
                 if let Some(balancer) = instances.get_mut(&who) {
                     step(balancer, who, now, event, &mut actions, &mut reply);
                 }
             }
-            Some(Input::Turn) => {
+            Some(Input::ReplyDue) => {
                 end_reply(&mut reply);
                 output.write_all(reply.as_bytes())?;
                 output.flush()?;
@@ -69,6 +69,6 @@
     if let Err(panic) = handled {
         let text = panic.downcast_ref::<String>().map(String::as_str);
         let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-        write_fault(reply, who, text);
+        write_panic(reply, who, text);
     }
 }
--- a/src/check.rs
+++ b/src/check.rs
@@ -123,7 +123,7 @@
         let class = |class: &Class| ClassPlan {
             name: class.name.to_string(),
             effect: effect(class.effect),
-            aim: format_duration(class.aim).to_string(),
+            aim: format_duration(class.latency_target).to_string(),
             deadline: format_duration(class.deadline).to_string(),
         };
         let told = Instant::now();
@@ -193,7 +193,7 @@
         remarks.push("settings.lanes names no class: every request is answered with 400".to_owned());
     }
     for (i, class) in settings.classes.iter().enumerate() {
-        if class.aim > class.deadline {
+        if class.latency_target > class.deadline {
             remarks.push(format!("settings.lanes.{i}: answers are wanted after the deadline only"));
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,4 +7,4 @@
 pub mod wire;
 
 pub use api::*;
-pub use policy::{Balancer, FOLLOW_AGAIN};
+pub use policy::{Balancer, RESUBSCRIBE_DELAY};
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use walkpick::policy::subscription::Delivery;
-use walkpick::wire::{read_settings, SettingFault};
+use walkpick::wire::{parse_settings, InvalidSetting};
 use walkpick::Settings;
 
 /// What a node is told at its start.
@@ -122,7 +122,7 @@
     let section = section::read(file.get("walkpick"), faults);
     let settings = settings?;
     // On sockets discovery tells only those that call it, and its client has a schedule of its own.
-    let delivery = if settings.must_follow { Delivery::Polled } else { Delivery::Pushed };
+    let delivery = if settings.must_subscribe { Delivery::Polled } else { Delivery::Pushed };
     Some(Config {
         name: name?,
         listen: listen?,
@@ -130,7 +130,7 @@
         seed: seed?,
         sockets: sockets?,
         known: known?,
-        settings: Settings { must_follow: false, ..settings },
+        settings: Settings { must_subscribe: false, ..settings },
         delivery,
         section,
     })
@@ -192,10 +192,10 @@
     // always say it, and to say no time at all is to ask for the same request again at once.
     pairs.retain(|(path, _)| path != TOLD_WHEN);
     pairs.push((TOLD_WHEN.to_owned(), true.to_string()));
-    match read_settings(&pairs) {
+    match parse_settings(&pairs) {
         Ok(settings) => Some(settings),
         Err(wrong) => {
-            faults.extend(wrong.into_iter().map(|SettingFault { path, found, expected }| {
+            faults.extend(wrong.into_iter().map(|InvalidSetting { path, found, expected }| {
                 let found = found.map_or_else(|| "nothing".to_owned(), |found| format!("{found:?}"));
                 Fault::new(format!("settings.{path}"), found, expected)
             }));
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -66,7 +66,7 @@
                     }
                 }
                 Some(id) = answers.recv() => {
-                    self.subscription.answer_begins(id, Instant::now().into_std());
+                    self.subscription.answer_started(id, Instant::now().into_std());
                 }
                 () = sleep_until(due) => {}
             }
@@ -78,7 +78,7 @@
             handle.abort();
         }
         let (began, kept) = (Instant::now(), self.kept.take());
-        debug!(target: "discovery", after = call.after, kept = kept.is_some(), "a call begins");
+        debug!(target: "discovery", after = call.after_version, kept = kept.is_some(), "a call begins");
         // Whoever hears of it only goes when the node does.
         let answer_begins = move || {
             let _ = begins.send(call.id);
@@ -94,7 +94,7 @@
         self.calls = JoinSet::new();
         self.handles.clear();
         self.kept = None;
-        self.subscription.moved(Instant::now().into_std());
+        self.subscription.endpoint_changed(Instant::now().into_std());
     }
 
     /// `false` where nobody takes lists any more.
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
-use walkpick::policy::subscription::{Call, CALL_LIMIT, WAIT};
+use walkpick::policy::subscription::{Call, CALL_TIMEOUT, LONG_POLL_WAIT};
 
 /// So much of a call's time is for what has come already: a node that stood still finds its time over and a long list
 /// half read.
@@ -66,11 +66,11 @@
     answer_begins: impl FnOnce(),
 ) -> Result<(Listing, Connection), CallError> {
     let connecting = usable_or_new(address, kept);
-    let connected = timeout(call.connect_within, connecting).await;
+    let connected = timeout(call.connect_timeout, connecting).await;
     let mut connection = connected.unwrap_or(Err(CallError::NotConnected))?;
     let listing = {
-        let mut answer = pin!(ask(&mut connection, address, call.after, answer_begins));
-        match timeout(CALL_LIMIT - LAST_LOOK, &mut answer).await {
+        let mut answer = pin!(ask(&mut connection, address, call.after_version, answer_begins));
+        match timeout(CALL_TIMEOUT - LAST_LOOK, &mut answer).await {
             Ok(answer) => answer,
             Err(_) => timeout(LAST_LOOK, answer).await.unwrap_or(Err(CallError::Overdue)),
         }
@@ -104,7 +104,7 @@
     answer_begins: impl FnOnce(),
 ) -> Result<Listing, CallError> {
     let path = match after {
-        Some(after) => format!("/v1/servers?after={after}&wait_ms={}", WAIT.as_millis()),
+        Some(after) => format!("/v1/servers?after={after}&wait_ms={}", LONG_POLL_WAIT.as_millis()),
         // Without a version the call does not wait.
         None => "/v1/servers".to_owned(),
     };
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use std::time::Duration;
-use walkpick::policy::subscription::{Delivery, CALL_LIMIT};
+use walkpick::policy::subscription::{Delivery, CALL_TIMEOUT};
 
 /// A discovery that answers only when it is told to, and says what it has done.
 struct Slow {
@@ -61,7 +61,7 @@
             discovery.answer.send(()).unwrap();
             // The node stands still meanwhile.
             discovery.answered.recv_timeout(Duration::from_secs(60)).unwrap();
-            tokio::time::advance(CALL_LIMIT * 10).await;
+            tokio::time::advance(CALL_TIMEOUT * 10).await;
             while !calling.is_finished() {
                 tokio::task::yield_now().await;
             }
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -17,8 +17,8 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::{debug, debug_span, info, warn, Span};
 use walkpick::{
-    Action, Availability, Balancer, EndReason, Event, Name, Note, Outcome, Request, RequestId, ServerEntry,
-    ServerId, ServerList, Status, Timestamp,
+    Action, Availability, Balancer, CacheStatus, EndReason, Event, Name, Outcome, Request, RequestId,
+    ServerEntry, ServerId, ServerList, Status, Timestamp,
 };
 
 /// Taken off a client's time: it counts from when the client sent, and the answer has its way back to go.
@@ -82,7 +82,7 @@
     server: ServerId,
     at: Instant,
     /// How it ended, and how long after it was sent.
-    end: Option<(Status, Option<Note>, Duration)>,
+    end: Option<(Status, Option<CacheStatus>, Duration)>,
     /// Its first byte was handed on.
     begun: Rc<Cell<bool>>,
     /// `None` once its end is known.
@@ -195,7 +195,7 @@
                     if listing.whole { ServerList::Full(entries) } else { ServerList::Changes(entries) };
                 self.due.push_back(Event::Servers(list));
             }
-            Input::Nodes(nodes) => self.due.push_back(Event::Nodes(nodes)),
+            Input::Nodes(nodes) => self.due.push_back(Event::NodeCount(nodes)),
             Input::Stopping { answer_by } => self.stop(answer_by),
         }
     }
@@ -210,7 +210,7 @@
         }
         for (host, entry) in listing.hosts.iter().zip(entries.iter()) {
             match entry.availability {
-                Availability::Gone => self.upstream.forget(&entry.id),
+                Availability::Removed => self.upstream.forget(&entry.id),
                 _ => self.upstream.learn(entry, host.dial()),
             }
         }
@@ -220,7 +220,7 @@
         // Lists that only renew weights come several times a second.
         if whole || ready < entries.len() {
             let (draining, gone) =
-                (named(&entries, Availability::Draining), named(&entries, Availability::Gone));
+                (named(&entries, Availability::Draining), named(&entries, Availability::Removed));
             info!(target: "discovery", seq, whole, ready, draining, gone, "list taken in");
         } else {
             debug!(target: "discovery", seq, whole, ready, "list taken in");
@@ -296,7 +296,7 @@
             attempt,
             server,
             status,
-            note,
+            cache_status: note,
             took,
             finished,
             load,
@@ -360,7 +360,7 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, timeout, begin_within } => {
+            Action::Send { id, server, timeout, start_within: begin_within } => {
                 self.send(id, server, timeout, begin_within);
             }
             Action::Cancel { id, attempt } => {
@@ -382,7 +382,7 @@
             // The module never probes where the settings forbid it, as they do wherever this node runs.
             Action::Probe { server } => warn!(target: "policy", %server, "no probe: this node sends none"),
             // Nor does it ask for lists where the settings say that they come by themselves, as they do here.
-            Action::Follow => {
+            Action::Subscribe => {
                 warn!(target: "policy", "no call: the client of discovery has its own schedule")
             }
         }
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -23,7 +23,7 @@
 
 impl Rig {
     fn new(servers: usize) -> Self {
-        let class = |effect| Class { effect, aim: LONG, deadline: LONG, ..Class::default() };
+        let class = |effect| Class { effect, latency_target: LONG, deadline: LONG, ..Class::default() };
         let classes = vec![class(Effect::Safe), class(Effect::Unsafe)];
         let settings = Settings { nodes: 16, classes, ..Settings::default() };
         let (events, inputs) = unbounded_channel();
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -266,7 +266,11 @@
         tell: Tell,
     ) -> Self {
         Self {
-            classes: settings.classes.iter().map(|class| (class.name.clone(), class.aim)).collect(),
+            classes: settings
+                .classes
+                .iter()
+                .map(|class| (class.name.clone(), class.latency_target))
+                .collect(),
             tenants: settings.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
             ready,
             pulse,
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -20,8 +20,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::debug;
-use walkpick::wire::read_load;
-use walkpick::{Availability, LoadReport, Note, ServerEntry, ServerId, Status, Timestamp};
+use walkpick::wire::parse_load_report;
+use walkpick::{Availability, CacheStatus, LoadReport, ServerEntry, ServerId, Status, Timestamp};
 
 /// The largest body of a message either way.
 pub const LARGEST_BODY: usize = 64 << 10;
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub struct Ended {
     pub status: Status,
-    pub note: Option<Note>,
+    pub note: Option<CacheStatus>,
     pub load: LoadReport,
     /// The body of a 200 answer, whole.
     pub body: Option<Bytes>,
@@ -405,12 +405,12 @@
     let status = outcome(&response);
     let text = |name: &HeaderName| response.headers().get(name).and_then(|value| value.to_str().ok());
     let note = match text(&CACHE) {
-        Some("hit") => Some(Note::Hit),
-        Some("miss") => Some(Note::Miss),
-        Some("pending") => Some(Note::MissFetching),
+        Some("hit") => Some(CacheStatus::Hit),
+        Some("miss") => Some(CacheStatus::Miss),
+        Some("pending") => Some(CacheStatus::MissFetching),
         _ => None,
     };
-    let load = text(&LOAD).map_or_else(LoadReport::default, |text| read_load(text, '='));
+    let load = text(&LOAD).map_or_else(LoadReport::default, |text| parse_load_report(text, '='));
     match Limited::new(response.into_body(), LARGEST_BODY).collect().await {
         Ok(body) => {
             let body = (status == Status::Ok).then(|| body.to_bytes());
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -63,10 +63,10 @@
         let caches = self.servers.iter().filter(|server| self.in_use(server));
         let fleet = caches.map(|server| self.capacity(server, now)).sum::<f64>().max(1e-9);
         let pace =
-            self.good.max(1.0) / self.rate_span.as_secs_f64() * self.settings.fall_multiple * COLD_PART;
+            self.good.max(1.0) / self.rate_span.as_secs_f64() * self.settings.overload_multiple * COLD_PART;
         for i in 0..self.servers.len() {
             let pace = pace * self.capacity(&self.servers[i], now) / fleet;
-            let due = pace * self.settings.fall_span.as_secs_f64();
+            let due = pace * self.settings.overload_window.as_secs_f64();
             let server = &mut self.servers[i];
             server.tokens = (server.tokens + pace * since).min((due / 2.0).max(1.0));
             // Of N from all nodes, 2 x root of N + 2 are put down to chance: no request is half of that.
@@ -90,7 +90,7 @@
     pub(super) fn due_within(&self, request: &Request) -> Duration {
         let work = request.expected_work.map_or(0.0, |work| work.as_secs_f64());
         let share = (AIM_SHARE * work / self.usual_work.max(1e-9)).clamp(AIM_SHARE, 1.0);
-        self.class(request).aim.mul_f64(share)
+        self.class(request).latency_target.mul_f64(share)
     }
 
     /// Counts the attempts that are overdue against their zones and servers' limits. The time-out that tells
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -25,8 +25,8 @@
 use std::time::Duration;
 use zones::Zone;
 
-/// From a call of discovery that failed to [`Action::Follow`].
-pub const FOLLOW_AGAIN: Duration = Duration::from_secs(1);
+/// From a call of discovery that failed to [`Action::Subscribe`].
+pub const RESUBSCRIBE_DELAY: Duration = Duration::from_secs(1);
 
 /// Decides for one node. It has no clock and does no I/O: equal events give equal actions.
 #[derive(Debug)]
@@ -83,11 +83,11 @@
     /// A balancer that knows no server yet. `seed` should differ between nodes.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
         let limit_start = limit_start(settings.nodes);
-        let quickest = settings.classes.iter().map(|class| class.aim).min().unwrap_or_default();
+        let quickest = settings.classes.iter().map(|class| class.latency_target).min().unwrap_or_default();
         let rate_span = (quickest * RATE_AIMS).max(Duration::from_millis(1));
         // The last class is for requests of none: the most careful one.
         settings.classes.push(Class::default());
-        let usual = settings.classes.iter().map(|class| class.aim.as_secs_f64()).collect();
+        let usual = settings.classes.iter().map(|class| class.latency_target.as_secs_f64()).collect();
         Self {
             settings,
             seed,
@@ -127,14 +127,14 @@
         self.counted = now;
         self.refill(now);
         match event {
-            Event::Nodes(nodes) => {
+            Event::NodeCount(nodes) => {
                 (self.settings.nodes, self.limit_start) = (nodes, limit_start(nodes));
             }
             Event::Restored(list) => self.learn(now, &list, true),
             Event::Servers(ServerList::Full(list)) => self.hear(now, &list, true),
             Event::Servers(ServerList::Changes(list)) => self.hear(now, &list, false),
             // Asked for again after a while: discovery that fails is loaded enough.
-            Event::Servers(ServerList::Unavailable) => self.follow_at = Some(now + FOLLOW_AGAIN),
+            Event::Servers(ServerList::Unavailable) => self.follow_at = Some(now + RESUBSCRIBE_DELAY),
             Event::Request(request) => {
                 self.drawn += 1;
                 let luck = unit(mix(self.seed ^ self.drawn));
@@ -147,9 +147,9 @@
             Event::Timer => self.armed = None,
             Event::FirstByte { .. } | Event::Probed { .. } => {}
         }
-        if self.settings.must_follow && self.follow_at.is_some_and(|at| now >= at) {
+        if self.settings.must_subscribe && self.follow_at.is_some_and(|at| now >= at) {
             self.follow_at = None;
-            actions.push(Action::Follow);
+            actions.push(Action::Subscribe);
         }
         while self.due.first().is_some_and(|(at, _)| *at <= now) {
             if let Some(mut held) = self.due.pop_first().and_then(|(_, id)| self.held.remove(&id)) {
@@ -158,7 +158,7 @@
             }
         }
         let due = self.due.first().map(|(at, _)| *at);
-        let follow = self.follow_at.filter(|_| self.settings.must_follow);
+        let follow = self.follow_at.filter(|_| self.settings.must_subscribe);
         let next = due.into_iter().chain(follow).min();
         if let Some(at) = next.filter(|at| self.armed.is_none_or(|armed| *at < armed)) {
             self.armed = Some(at);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -63,14 +63,15 @@
         let Some(attempt) = held.attempts.get_mut(outcome.attempt as usize) else { return self.keep(held) };
         attempt.status = Some(outcome.status);
         let unsent = (outcome.status == Status::Ignored).then_some((attempt.paid, attempt.work));
-        let fetched = outcome.note == Some(Note::Miss) && self.settings.mode == CacheMode::Through;
+        let fetched =
+            outcome.cache_status == Some(CacheStatus::Miss) && self.settings.mode == CacheMode::Through;
         let epochs = attempt.epochs;
         self.judge_fetches(now, &held, outcome, epochs.2, actions);
         let unfetched = outcome.status == Status::Failed && self.fetches.state != State::Closed;
         self.bad += if unfetched { 1.0 } else { 0.0 };
         // A client that gave up before an answer would have been late tells of itself, not of the server.
         let impatient = outcome.status == Status::TimedOut
-            && outcome.took < self.class(&held.request).aim.mul_f64(AIM_SHARE);
+            && outcome.took < self.class(&held.request).latency_target.mul_f64(AIM_SHARE);
         let ok = match outcome.status {
             Status::Ok | Status::Miss => Some(true),
             Status::Canceled | Status::Ignored => None,
@@ -79,7 +80,7 @@
             _ if fetched || unfetched => None,
             _ => Some(false),
         };
-        if fetched || outcome.note == Some(Note::Hit) {
+        if fetched || outcome.cache_status == Some(CacheStatus::Hit) {
             if let Some(key) = self.keys.get_mut(&key_of(&held.request)) {
                 key.kept = ok.is_some();
             }
@@ -100,16 +101,21 @@
             self.works = (self.works + 1.0).min(100.0);
             self.mean_work += (work - self.mean_work) / self.works;
         }
-        let spare = outcome.load.busy.is_some_and(|busy| busy < BUSY);
+        let spare = outcome.load.utilization.is_some_and(|busy| busy < BUSY);
         // Where nobody waits it is most often the work itself that takes long. One of many nodes cannot tell:
         // it meets the server so seldom that the report is older than the bursts of the others.
         let few = self.settings.nodes <= NODES_MEETING_OFTEN;
-        let unqueued = few && outcome.load.waiting.is_some_and(|waiting| waiting < 1.0);
+        let unqueued = few && outcome.load.queue_length.is_some_and(|waiting| waiting < 1.0);
         if outcome.status == Status::Ok {
             let slot = self.class_slot(&held.request);
             self.usual[slot] += (outcome.took.as_secs_f64() - self.usual[slot]) / 20.0;
         }
-        let par = held.request.expected_work.unwrap_or(self.class(&held.request).aim).as_secs_f64().max(1e-6);
+        let par = held
+            .request
+            .expected_work
+            .unwrap_or(self.class(&held.request).latency_target)
+            .as_secs_f64()
+            .max(1e-6);
         if let Ok(i) = self.servers.binary_search_by(|server| server.entry.id.cmp(&outcome.server)) {
             let told = matches!(outcome.status, Status::Ok | Status::TimedOut) && !fetched && !impatient;
             if told && self.warmth(&self.servers[i], now) >= 1.0 {
@@ -171,7 +177,7 @@
         }
         let Some(i) = self.pick(now, &held) else {
             // A burst passes: without room a request waits, while thrice a usual answer would be in time.
-            let aim = self.class(&held.request).aim;
+            let aim = self.class(&held.request).latency_target;
             let usual = Duration::from_secs_f64(self.usual[self.class_slot(&held.request)]);
             let again = now + aim.mul_f64(HOLD_STEP);
             if held.attempts.is_empty()
@@ -221,12 +227,12 @@
             self.due.insert((overdue, held.request.id.clone()));
         }
         let until = self.repeatable_until(&held);
-        let begin_within = (until < held.request.valid_until).then(|| until.since(now));
+        let start_within = (until < held.request.valid_until).then(|| until.since(now));
         let (status, counted) = (None, false);
         held.attempts.push(Attempt { entry, sent: now, epochs, status, overdue, counted, paid, work });
         let timeout = held.request.valid_until.since(now);
         let (id, server) = (held.request.id.clone(), self.servers[i].entry.id.clone());
-        actions.push(Action::Send { id, server, timeout, begin_within });
+        actions.push(Action::Send { id, server, timeout, start_within });
         self.keep(held);
     }
 
@@ -240,14 +246,14 @@
         let origin = self.servers.iter().find(|server| self.is_origin(&server.entry));
         let advice = match origin.map_or(self.origin.state, |server| server.breaker.state) {
             State::Open { until } => until.since(now),
-            _ => self.class(request).aim.mul_f64(AWAY_STEP),
+            _ => self.class(request).latency_target.mul_f64(AWAY_STEP),
         };
         advice.min(self.settings.max_retry_after)
     }
 
     pub(super) fn end(&mut self, now: Timestamp, held: Held, reason: EndReason, actions: &mut Vec<Action>) {
         let effect = self.class(&held.request).effect;
-        let scattered = matches!(effect, Effect::Keyed { scope: Scope::Zone | Scope::Cell, .. })
+        let scattered = matches!(effect, Effect::Keyed { scope: DedupScope::Zone | DedupScope::Cell, .. })
             && held.may_have_run().next().is_some();
         let retry_after = self.retry_after(now, &held.request);
         // Its client comes again in its own time: no sooner than it is told to.
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -1,7 +1,7 @@
 //! Which requests may be sent again, and what that costs of the retry budget.
 
 use super::{Attempt, Balancer, Held};
-use crate::api::{Effect, Request, Scope, ServerEntry, Status, Timestamp};
+use crate::api::{DedupScope, Effect, Request, ServerEntry, Status, Timestamp};
 
 /// Retry budget: each request pays in this much, and no more than so many are saved up.
 pub(super) const RETRY_SHARE: f64 = 0.2;
@@ -34,8 +34,8 @@
     /// Whether rule 2 lets the request go to this server now.
     pub(super) fn may_send(&self, now: Timestamp, held: &Held, entry: &ServerEntry) -> bool {
         let knows = |earlier: &Attempt| match self.class(&held.request).effect {
-            Effect::Keyed { scope: Scope::Zone, .. } => earlier.entry.zone == entry.zone,
-            Effect::Keyed { scope: Scope::Cell, .. } => earlier.entry.cell == entry.cell,
+            Effect::Keyed { scope: DedupScope::Zone, .. } => earlier.entry.zone == entry.zone,
+            Effect::Keyed { scope: DedupScope::Cell, .. } => earlier.entry.cell == entry.cell,
             _ => true,
         };
         now < self.repeatable_until(held) && held.may_have_run().all(knows)
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -101,7 +101,7 @@
     }
 
     pub(super) fn learn(&mut self, now: Timestamp, entries: &[ServerEntry], full: bool) {
-        let newest = match self.settings.sized {
+        let newest = match self.settings.nominal_weights {
             true => 1.0,
             false => {
                 1.0 - (-now.since(self.listed).min(WEIGHT_STEP).as_secs_f64() / WEIGHT_SPAN.as_secs_f64())
@@ -120,7 +120,7 @@
         for entry in entries {
             let place = self.servers.binary_search_by(|server| server.entry.id.cmp(&entry.id));
             match place {
-                Ok(i) if entry.availability == Availability::Gone => {
+                Ok(i) if entry.availability == Availability::Removed => {
                     remember(&mut self.departed, self.servers.remove(i));
                 }
                 Ok(i) => {
@@ -133,7 +133,7 @@
                     }
                     self.servers[i].entry = entry.clone();
                 }
-                Err(_) if entry.availability == Availability::Gone => {}
+                Err(_) if entry.availability == Availability::Removed => {}
                 Err(i) => {
                     let hash = mix(hash_text(entry.id.as_str()));
                     let kind = self.kinds.iter().position(|kind| kind.name == entry.kind);
@@ -208,7 +208,7 @@
     }
 
     pub(super) fn capacity(&self, server: &Server, now: Timestamp) -> f64 {
-        let speed = if self.settings.sized { 1.0 } else { (-self.kinds[server.kind].pace).exp() };
+        let speed = if self.settings.nominal_weights { 1.0 } else { (-self.kinds[server.kind].pace).exp() };
         (speed / server.load * self.warmth(server, now)).max(1e-9)
     }
 
--- a/src/policy/subscription.rs
+++ b/src/policy/subscription.rs
@@ -11,17 +11,17 @@
 //! the protocol page, "Discovery", the page of the standing test, "Days at full size", and the operators'
 //! terms.)
 
-use super::FOLLOW_AGAIN;
+use super::RESUBSCRIBE_DELAY;
 use std::time::{Duration, Instant};
 
 /// How long a call asks discovery to wait for a change. A change ends the wait at once: a short wait only
 /// bounds how long a lost call goes unnoticed.
-pub const WAIT: Duration = Duration::from_millis(1_500);
+pub const LONG_POLL_WAIT: Duration = Duration::from_millis(1_500);
 /// An answer that comes this long after the wait is overdue. A call that does not wait has as long as one
 /// that does: discovery may be slow.
-pub const OVERDUE: Duration = Duration::from_secs(1);
+pub const OVERDUE_AFTER: Duration = Duration::from_secs(1);
 /// A call that is overdue stays out for so long after its beginning: a slow answer is better than none.
-pub const CALL_LIMIT: Duration = Duration::from_secs(7);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(7);
 
 /// An agent's answer that has begun is whole within this time, or another call begins beside it. The time
 /// is doubled twice at once, since lists may be long and come in pieces, and once more with every few further
@@ -37,7 +37,7 @@
 const CONNECT_POLLED: Duration = Duration::from_millis(300);
 /// From the beginning of a call that failed to the next one, at an agent, before the draw.
 const PAUSE_PUSHED: Duration = Duration::from_millis(40);
-/// What comes on top of [`FOLLOW_AGAIN`] at a service, before the draw: the first step, doubled with each
+/// What comes on top of [`RESUBSCRIBE_DELAY`] at a service, before the draw: the first step, doubled with each
 /// failure up to the most.
 const BACKOFF: Duration = Duration::from_millis(200);
 const BACKOFF_MOST: Duration = Duration::from_millis(400);
@@ -53,16 +53,16 @@
 const TOLD: Duration = Duration::from_secs(6);
 
 /// From when an agent has a change and can be reached to when a call is there that it answers, at the most.
-pub const REACHED_WITHIN: Duration = longer(half_as_much_again(PAUSE_PUSHED), CONNECT_PUSHED);
+pub const MAX_AGENT_RECONNECT: Duration = longer(half_as_much_again(PAUSE_PUSHED), CONNECT_PUSHED);
 /// From when a service has a change and can be reached to when the node has it, at the most.
-pub const TOLD_WITHIN: Duration = {
-    let pause = FOLLOW_AGAIN.saturating_add(half_as_much_again(BACKOFF_MOST));
-    let next_call = longer(WAIT.saturating_add(OVERDUE), longer(pause, CONNECT_POLLED));
-    next_call.saturating_add(CONNECT_POLLED).saturating_add(OVERDUE)
+pub const MAX_NOTIFICATION_DELAY: Duration = {
+    let pause = RESUBSCRIBE_DELAY.saturating_add(half_as_much_again(BACKOFF_MOST));
+    let next_call = longer(LONG_POLL_WAIT.saturating_add(OVERDUE_AFTER), longer(pause, CONNECT_POLLED));
+    next_call.saturating_add(CONNECT_POLLED).saturating_add(OVERDUE_AFTER)
 };
 // To hear of a drain late is to break a rule: a version whose times add up to more does not compile.
-const _: () = assert!(REACHED_WITHIN.saturating_add(HELD_UP).as_millis() <= DRAIN_GRACE.as_millis());
-const _: () = assert!(TOLD_WITHIN.as_millis() <= TOLD.as_millis());
+const _: () = assert!(MAX_AGENT_RECONNECT.saturating_add(HELD_UP).as_millis() <= DRAIN_GRACE.as_millis());
+const _: () = assert!(MAX_NOTIFICATION_DELAY.as_millis() <= TOLD.as_millis());
 
 const fn longer(one: Duration, other: Duration) -> Duration {
     if one.as_nanos() >= other.as_nanos() {
@@ -87,7 +87,7 @@
 
 impl Delivery {
     /// For so long a connection may take to come up.
-    pub fn connect_within(self) -> Duration {
+    pub fn connect_timeout(self) -> Duration {
         match self {
             Self::Pushed => CONNECT_PUSHED,
             Self::Polled => CONNECT_POLLED,
@@ -98,7 +98,7 @@
     fn pause(self, failures: u32) -> (Duration, Duration) {
         match self {
             Self::Pushed => (Duration::ZERO, PAUSE_PUSHED),
-            Self::Polled => (FOLLOW_AGAIN, backoff(failures)),
+            Self::Polled => (RESUBSCRIBE_DELAY, backoff(failures)),
         }
     }
 }
@@ -118,16 +118,16 @@
     /// Its number.
     pub id: CallId,
     /// The version that the node has: changes after it are asked for, or the whole list where there is none.
-    pub after: Option<u64>,
+    pub after_version: Option<u64>,
     /// For so long its connection may take to come up.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// A call that is given up for it.
     pub replaces: Option<CallId>,
 }
 
 /// What an answer is worth.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct AnswerOutcome {
     /// The list is to be taken in: it is not older than what the node has.
     pub accepted: bool,
     /// Calls that began before the answered one and are of no use any more.
@@ -190,7 +190,7 @@
     }
 
     fn overdue_at(&self, call: Outstanding) -> Instant {
-        let unanswered = call.began + WAIT + OVERDUE;
+        let unanswered = call.began + LONG_POLL_WAIT + OVERDUE_AFTER;
         let doublings = self.incomplete.min(DOUBLED_AT_ONCE) + self.incomplete / DOUBLED_EVERY;
         let longer = 1 << doublings.min(8);
         match (self.delivery, call.answering) {
@@ -200,7 +200,7 @@
     }
 
     /// The answer to a call has begun to come.
-    pub fn answer_begins(&mut self, id: CallId, now: Instant) {
+    pub fn answer_started(&mut self, id: CallId, now: Instant) {
         let call = self.outstanding.iter_mut().find(|call| call.id == id);
         call.into_iter().for_each(|call| call.answering = Some(now));
     }
@@ -217,12 +217,12 @@
         let id = CallId(self.next_id);
         self.next_id += 1;
         self.outstanding.push(Outstanding { id, began: now, answering: None });
-        let connect_within = self.delivery.connect_within();
-        Some(Call { id, after: self.version, connect_within, replaces })
+        let connect_within = self.delivery.connect_timeout();
+        Some(Call { id, after_version: self.version, connect_timeout: connect_within, replaces })
     }
 
     /// A call was answered with a list of this version.
-    pub fn answered(&mut self, id: CallId, version: u64, now: Instant) -> Verdict {
+    pub fn answered(&mut self, id: CallId, version: u64, now: Instant) -> AnswerOutcome {
         let overtaken = self.answered.is_some_and(|latest| id < latest);
         // An answer that a later call's has overtaken may be older. One that was not is the newest there
         // is, also where discovery counts its versions anew.
@@ -235,7 +235,7 @@
         self.answered = self.answered.max(Some(id));
         self.incomplete = 0;
         self.earliest = now;
-        Verdict { accepted, obsolete, failures: std::mem::take(&mut self.failures) }
+        AnswerOutcome { accepted, obsolete, failures: std::mem::take(&mut self.failures) }
     }
 
     /// A call failed, or was given up. Returns how many have failed in a row.
@@ -253,7 +253,7 @@
 
     /// Discovery is elsewhere, or another process is there: it may count its versions anew, and is asked
     /// for the whole list at once. Calls that are out are void.
-    pub fn moved(&mut self, now: Instant) {
+    pub fn endpoint_changed(&mut self, now: Instant) {
         self.outstanding.clear();
         self.version = None;
         self.answered = None;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -26,11 +26,11 @@
     /// A batch begins, at this time.
     Tick(Timestamp),
     /// A batch ends; a reply is due.
-    Turn,
+    ReplyDue,
     /// An instance starts.
     Start {
         /// Its number.
-        who: u32,
+        instance: u32,
         /// Its seed.
         seed: u64,
         /// Its settings.
@@ -39,12 +39,12 @@
     /// An instance was killed.
     Stop {
         /// Its number.
-        who: u32,
+        instance: u32,
     },
     /// An instance has an event.
     Event {
         /// Its number.
-        who: u32,
+        instance: u32,
         /// The event.
         event: Event,
     },
@@ -52,7 +52,7 @@
 
 /// A start-up setting that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingFault {
+pub struct InvalidSetting {
     /// Its path, with dots.
     pub path: String,
     /// Its text; `None` where it is missing.
@@ -65,7 +65,7 @@
     line: &'a str,
     pairs: Vec<(&'a str, &'a str)>,
     /// Where all faults are wanted, not just the first.
-    faults: Option<RefCell<Vec<SettingFault>>>,
+    faults: Option<RefCell<Vec<InvalidSetting>>>,
 }
 
 impl<'a> Fields<'a> {
@@ -86,7 +86,7 @@
     fn unreadable<T>(&self, name: &str, expected: &'static str) -> Result<Option<T>, WireError> {
         let Some(faults) = &self.faults else { return Err(self.bad(&format!("unreadable {name}"))) };
         let found = self.text(name).map(str::to_owned);
-        faults.borrow_mut().push(SettingFault { path: name.to_owned(), found, expected });
+        faults.borrow_mut().push(InvalidSetting { path: name.to_owned(), found, expected });
         Ok(None)
     }
 
@@ -149,7 +149,7 @@
 
 impl Parser {
     /// Reads one line. `None` for a line that concerns no instance, or that is not known.
-    pub fn line(&mut self, line: &str) -> Result<Option<Input>, WireError> {
+    pub fn parse_line(&mut self, line: &str) -> Result<Option<Input>, WireError> {
         let line = line.trim_end_matches(['\r', '\n']);
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         if word == "m" {
@@ -164,7 +164,7 @@
         let fields = match word {
             "tick" | "power_on" | "roster" | "peers_known" | "submit" | "timer" | "retire" | "sampled"
             | "first_byte" | "abandoned" | "returned" => Fields::new(line, rest),
-            "your_turn" => return Ok(Some(Input::Turn)),
+            "your_turn" => return Ok(Some(Input::ReplyDue)),
             _ => return Ok(None),
         };
         if word == "tick" {
@@ -176,16 +176,16 @@
             self.banks.insert(bank, Vec::new().into());
             return Ok(None);
         }
-        let who = fields.need("who")?;
+        let instance = fields.need("who")?;
         let event = match word {
             "power_on" => {
                 let settings = Box::new(settings(&fields)?);
                 let classes = settings.classes.iter().map(|class| class.name.clone()).collect();
                 let tenants = settings.tenants.iter().map(|tenant| tenant.name.clone()).collect();
-                self.names.insert(who, (classes, tenants));
-                return Ok(Some(Input::Start { who, seed: fields.need("prng")?, settings }));
+                self.names.insert(instance, (classes, tenants));
+                return Ok(Some(Input::Start { instance, seed: fields.need("prng")?, settings }));
             }
-            "retire" => return Ok(Some(Input::Stop { who })),
+            "retire" => return Ok(Some(Input::Stop { instance })),
             "peers_known" => match fields.need::<String>("how")?.as_str() {
                 "unavailable" => Event::Servers(ServerList::Unavailable),
                 how @ ("update" | "replace" | "restored") => {
@@ -201,7 +201,8 @@
             },
             "submit" => {
                 let options: u32 = fields.optional("options")?.unwrap_or(0);
-                let (classes, tenants) = self.names.get(&who).map_or((&[][..], &[][..]), |n| (&n.0, &n.1));
+                let (classes, tenants) =
+                    self.names.get(&instance).map_or((&[][..], &[][..]), |n| (&n.0, &n.1));
                 let find = |names: &[Name], name: &str| {
                     fields.text(name).and_then(|text| names.iter().position(|n| n.as_str() == text))
                 };
@@ -226,10 +227,10 @@
                     attempt: fields.need("hop")?,
                     server: self.server(&fields)?,
                     status,
-                    note: match fields.optional::<i64>("info")? {
-                        Some(1) => Some(Note::Hit),
-                        Some(2) => Some(Note::Miss),
-                        Some(3) => Some(Note::MissFetching),
+                    cache_status: match fields.optional::<i64>("info")? {
+                        Some(1) => Some(CacheStatus::Hit),
+                        Some(2) => Some(CacheStatus::Miss),
+                        Some(3) => Some(CacheStatus::MissFetching),
                         _ => None,
                     },
                     took: fields.micros("spent_us")?.unwrap_or_default(),
@@ -243,7 +244,7 @@
                 Event::Probed { server: self.server(&fields)?, status, took, load: wire_load(&fields) }
             }
         };
-        Ok(Some(Input::Event { who, event }))
+        Ok(Some(Input::Event { instance, event }))
     }
 
     fn server(&mut self, fields: &Fields) -> Result<ServerId, WireError> {
@@ -264,7 +265,7 @@
             cell: fields.optional("group")?.unwrap_or(0),
             availability: match fields.text("availability") {
                 Some("U") => Availability::Ready,
-                Some("D") => Availability::Gone,
+                Some("D") => Availability::Removed,
                 // A state this version does not know: keep away from that server.
                 Some(_) => Availability::Draining,
                 None => return Err(fields.bad("no availability")),
@@ -301,12 +302,12 @@
 }
 
 fn wire_load(fields: &Fields) -> LoadReport {
-    fields.text("server_stats").map_or_else(LoadReport::default, |text| read_load(text, ':'))
+    fields.text("server_stats").map_or_else(LoadReport::default, |text| parse_load_report(text, ':'))
 }
 
 /// Reads a load report, its values set apart by commas and each from its name by `separator`. A value goes
 /// by its name on the wire or on the sockets; one that is no finite number from 0 up is passed over.
-pub fn read_load(text: &str, separator: char) -> LoadReport {
+pub fn parse_load_report(text: &str, separator: char) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|part| part.split_once(separator)) {
         let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
@@ -314,8 +315,8 @@
             "avg_ms" | "latency_ms" => {
                 report.service_time = value.map(|ms| Duration::from_micros((ms * 1000.0) as u64));
             }
-            "cpu" | "util" => report.busy = value,
-            "waiting" | "queue" => report.waiting = value,
+            "cpu" | "util" => report.utilization = value,
+            "waiting" | "queue" => report.queue_length = value,
             _ => {}
         }
     }
@@ -323,7 +324,7 @@
 }
 
 /// Reads start-up settings from their pairs of path and value, or tells all that cannot be read.
-pub fn read_settings(pairs: &[(String, String)]) -> Result<Settings, Vec<SettingFault>> {
+pub fn parse_settings(pairs: &[(String, String)]) -> Result<Settings, Vec<InvalidSetting>> {
     let pairs = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
     let fields = Fields { line: "settings", pairs, faults: Some(RefCell::default()) };
     let read = settings(&fields);
@@ -332,7 +333,7 @@
         Ok(settings) if faults.is_empty() => Ok(settings),
         Ok(_) => Err(faults),
         Err(WireError(found)) => {
-            faults.push(SettingFault { path: String::new(), found: Some(found), expected: "settings" });
+            faults.push(InvalidSetting { path: String::new(), found: Some(found), expected: "settings" });
             Err(faults)
         }
     }
@@ -346,9 +347,9 @@
         let other = Class::default();
         let window = fields.micros(&at("repeat_window_us"))?.unwrap_or_default();
         let scope = match fields.text(&at("dedup_scope")) {
-            Some("all") => Scope::All,
-            Some("zone") => Scope::Zone,
-            _ => Scope::Cell,
+            Some("all") => DedupScope::All,
+            Some("zone") => DedupScope::Zone,
+            _ => DedupScope::Cell,
         };
         classes.push(Class {
             name: fields.named(&at("name"))?,
@@ -357,7 +358,7 @@
                 Some("keyed") => Effect::Keyed { scope, window },
                 _ => Effect::Unsafe,
             },
-            aim: fields.micros(&at("promise_us"))?.unwrap_or(other.aim),
+            latency_target: fields.micros(&at("promise_us"))?.unwrap_or(other.latency_target),
             deadline: fields.micros(&at("hard_limit_us"))?.unwrap_or(other.deadline),
             worth: fields.number(&at("worth"), f64::MAX)?.unwrap_or(other.worth),
             late_worth: fields.number(&at("late_value"), 1.0)?.unwrap_or(other.late_worth),
@@ -385,10 +386,10 @@
             (Some("aside"), Some(kind)) => CacheMode::Aside { origin_kind: kind.into() },
             _ => CacheMode::Through,
         },
-        sized: matches!(fields.text("weights"), None | Some("nominal")),
-        must_follow: fields.text("membership_mode") == Some("subscribe"),
+        nominal_weights: matches!(fields.text("weights"), None | Some("nominal")),
+        must_subscribe: fields.text("membership_mode") == Some("subscribe"),
         max_attempts: fields.optional("limits.most_tries")?.unwrap_or(base.max_attempts),
-        second_copies: fields.flag("limits.second_copies")?.unwrap_or(base.second_copies),
+        hedging: fields.flag("limits.second_copies")?.unwrap_or(base.hedging),
         cancelling: fields.flag("limits.cancelling")?.unwrap_or(base.cancelling),
         probing: fields.flag("limits.probing")?.unwrap_or(base.probing),
         max_retry_after: or("limits.max_retry_after_us", base.max_retry_after)?
@@ -397,8 +398,8 @@
         keepalive: or("limits.keepalive_us", base.keepalive)?,
         cold_share: fields.number("safety.cold_share", 1.0)?.unwrap_or(base.cold_share),
         warm_within: or("safety.warm_within_us", base.warm_within)?,
-        fall_multiple: fields.number("safety.fall_multiple", f64::MAX)?.unwrap_or(base.fall_multiple),
-        fall_span: or("safety.fall_us", base.fall_span)?,
+        overload_multiple: fields.number("safety.fall_multiple", f64::MAX)?.unwrap_or(base.overload_multiple),
+        overload_window: or("safety.fall_us", base.overload_window)?,
     })
 }
 
@@ -422,14 +423,14 @@
         }
         Action::Probe { server } => writeln!(out, "health_check who={who} server={server}"),
         Action::Close { server } => writeln!(out, "close who={who} server={server}"),
-        Action::Follow => writeln!(out, "follow who={who} on=1"),
+        Action::Subscribe => writeln!(out, "follow who={who} on=1"),
         Action::Log(text) => writeln!(out, "write_log who={who} body_text={}", one_line(text)),
     };
     written.expect("writing to a String cannot fail");
 }
 
 /// Appends the word that the decision code of instance `who` has failed.
-pub fn write_fault(out: &mut String, who: u32, text: &str) {
+pub fn write_panic(out: &mut String, who: u32, text: &str) {
     writeln!(out, "bail_out who={who} body_text={}", one_line(text))
         .expect("writing to a String cannot fail");
 }
--- a/tests/breaker.rs
+++ b/tests/breaker.rs
@@ -205,10 +205,10 @@
         !node.requests[&id].sent.is_empty()
     };
     for key in 0..8 {
-        assert!(read(&mut node, key, Status::Ok, Note::Hit));
+        assert!(read(&mut node, key, Status::Ok, CacheStatus::Hit));
     }
     for key in 100..108 {
-        read(&mut node, key, Status::Failed, Note::Miss);
+        read(&mut node, key, Status::Failed, CacheStatus::Miss);
         node.pass(ms(10));
     }
     let tripped = |node: &Node, of: &str| {
@@ -216,16 +216,16 @@
         node.trace.iter().filter(line).count()
     };
     assert_eq!((tripped(&node, "origin tripped"), tripped(&node, "tripped")), (1, 1));
-    assert!(!read(&mut node, 200, Status::Ok, Note::Miss), "a likely miss is refused");
-    assert!(read(&mut node, 3, Status::Ok, Note::Hit), "a key that is held is served");
+    assert!(!read(&mut node, 200, Status::Ok, CacheStatus::Miss), "a likely miss is refused");
+    assert!(read(&mut node, 3, Status::Ok, CacheStatus::Hit), "a key that is held is served");
     let write = Request { write: true, class: Some(ClassId(1)), ..Request::new("w", node.now + ms(400)) };
     let write = node.submit(write);
     assert!(node.requests[&write].ended, "a write is refused");
     node.pass(ms(9_000));
     for key in 300..303 {
-        assert!(read(&mut node, key, Status::Ok, Note::Miss), "a trial after the cooldown");
+        assert!(read(&mut node, key, Status::Ok, CacheStatus::Miss), "a trial after the cooldown");
     }
-    assert!(read(&mut node, 303, Status::Ok, Note::Miss), "closed again");
+    assert!(read(&mut node, 303, Status::Ok, CacheStatus::Miss), "closed again");
 }
 
 /// A half-open trial of the origin that times out tells nothing of it and gives its place back.
@@ -235,7 +235,7 @@
     for key in 100..108 {
         let id = node.request(0, key, ms(400));
         while let Some((attempt, _)) = node.out(&id) {
-            node.end_attempt_noted(&id, attempt, Status::Failed, Some(Note::Miss));
+            node.end_attempt_noted(&id, attempt, Status::Failed, Some(CacheStatus::Miss));
         }
     }
     node.pass(ms(9_000));
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -98,10 +98,10 @@
 /// What came within a span that begins with the first of these, against what was due.
 fn overdone(settings: &Settings, born: Timestamp, sent: &[(Timestamp, f64)]) -> f64 {
     let from = sent[0].0;
-    let within = sent.iter().take_while(|(at, _)| at.since(from) <= settings.fall_span);
+    let within = sent.iter().take_while(|(at, _)| at.since(from) <= settings.overload_window);
     let age = from.since(born).as_secs_f64() / settings.warm_within.as_secs_f64();
     let able = CAPACITY * (settings.cold_share + (1.0 - settings.cold_share) * age.min(1.0));
-    let due = settings.fall_multiple * able * settings.fall_span.as_secs_f64();
+    let due = settings.overload_multiple * able * settings.overload_window.as_secs_f64();
     within.map(|(_, work)| work).sum::<f64>() / (due + 2.0 * due.sqrt() + 2.0)
 }
 
@@ -170,7 +170,7 @@
     assert_eq!(heavy, 0, "what is 64 times as heavy did not");
 }
 
-/// Requests of mean work that a server got which starts beside two old ones, within `settings.fall_span` of the list that
+/// Requests of mean work that a server got which starts beside two old ones, within `settings.overload_window` of the list that
 /// tells of it, where its start is told as so long before (or after) the moment.
 fn sent_to_a_fresh_one(told_age_ms: i64) -> usize {
     let settings = settings();
@@ -189,7 +189,7 @@
     let first = node.now;
     let mut sent = 0;
     for key in 0.. {
-        if node.now.since(first) >= settings.fall_span {
+        if node.now.since(first) >= settings.overload_window {
             return sent;
         }
         let id = node.request(0, key, ms(400));
@@ -244,7 +244,7 @@
     node.full_list(entries.clone());
     node.pass(settings().warm_within + Duration::from_secs(10));
     for whole in [true, false] {
-        let gone = ServerEntry { availability: Availability::Gone, ..entries[0].clone() };
+        let gone = ServerEntry { availability: Availability::Removed, ..entries[0].clone() };
         if whole {
             node.full_list(entries[1..].to_vec())
         } else {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -92,7 +92,7 @@
                 assert!(!open.ended, "rule 1: a send for an ended request");
                 assert!(open.sent.len() < limits.max_attempts as usize, "more attempts than allowed");
                 let out = open.sent.iter().filter(|sent| sent.status.is_none()).count();
-                assert!(out == 0 || (limits.second_copies && out == 1), "too many attempts out at once");
+                assert!(out == 0 || (limits.hedging && out == 1), "too many attempts out at once");
                 for earlier in open.sent.iter().filter(|sent| may_have_run(sent)) {
                     match class.effect {
                         Effect::Safe => {}
@@ -100,9 +100,9 @@
                         Effect::Keyed { scope, window } => {
                             assert!(now < earlier.at + window, "rule 2: sent again after its window");
                             let near = match scope {
-                                Scope::All => true,
-                                Scope::Zone => earlier.server.zone == entry.zone,
-                                Scope::Cell => earlier.server.cell == entry.cell,
+                                DedupScope::All => true,
+                                DedupScope::Zone => earlier.server.zone == entry.zone,
+                                DedupScope::Cell => earlier.server.cell == entry.cell,
                             };
                             assert!(near, "rule 2: sent again outside its scope");
                         }
@@ -115,7 +115,7 @@
                 let effect = self.class_of(&self.requests[id].request).effect;
                 let open = self.requests.get_mut(id).expect("a refusal of an unknown request");
                 assert!(!open.ended, "rule 1: a second final answer");
-                let all = matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+                let all = matches!(effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
                 assert!(all || !open.sent.iter().any(may_have_run), "rule 2: refused, yet it may have run");
                 if let Effect::Keyed { window, .. } = effect {
                     let past =
@@ -135,7 +135,7 @@
             Action::Cancel { id, attempt } => {
                 assert!(self.requests[id].sent.len() > *attempt as usize, "cancelled an attempt never made");
             }
-            Action::Probe { .. } | Action::Close { .. } | Action::Follow | Action::Log(_) => {}
+            Action::Probe { .. } | Action::Close { .. } | Action::Subscribe | Action::Log(_) => {}
         }
     }
 
@@ -175,7 +175,7 @@
         id: &RequestId,
         attempt: u32,
         status: Status,
-        note: Option<Note>,
+        note: Option<CacheStatus>,
     ) -> Vec<Action> {
         let now = self.now;
         let open = self.requests.get_mut(id).expect("known");
@@ -189,7 +189,7 @@
             attempt,
             server,
             status,
-            note,
+            cache_status: note,
             took,
             finished,
             load,
@@ -255,16 +255,16 @@
     let class = |name: &str, effect| Class {
         name: name.into(),
         effect,
-        aim: ms(150),
+        latency_target: ms(150),
         deadline: ms(400),
         worth: 1.0,
         late_worth: 0.3,
     };
-    let keyed = Effect::Keyed { scope: Scope::All, window: ms(1000) };
+    let keyed = Effect::Keyed { scope: DedupScope::All, window: ms(1000) };
     Settings {
         classes: vec![class("read", Effect::Safe), class("keyed", keyed), class("unsafe", Effect::Unsafe)],
         max_attempts: 6,
-        second_copies: true,
+        hedging: true,
         cancelling: true,
         max_retry_after: ms(1000),
         ..Settings::default()
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -58,12 +58,13 @@
     let capacity = f64::from(all) / seconds / f64::from(servers);
     assert!(to_cold.len() > 50, "it must get some work: {}", to_cold.len());
     // Spans that end while it is still cold.
-    let cold_for = settings.warm_within - settings.fall_span;
+    let cold_for = settings.warm_within - settings.overload_window;
     for (i, at) in to_cold.iter().enumerate().take_while(|(_, at)| at.since(born) < cold_for) {
-        let within = to_cold[i..].iter().take_while(|later| later.since(*at) <= settings.fall_span).count();
+        let within =
+            to_cold[i..].iter().take_while(|later| later.since(*at) <= settings.overload_window).count();
         let age = at.since(born).as_secs_f64() / settings.warm_within.as_secs_f64();
         let now_able = capacity * (settings.cold_share + (1.0 - settings.cold_share) * age);
-        let most = settings.fall_multiple * now_able * settings.fall_span.as_secs_f64();
+        let most = settings.overload_multiple * now_able * settings.overload_window.as_secs_f64();
         assert!((within as f64) <= most * 1.1, "{within} in a span, {most} allowed at age {age}");
     }
 }
@@ -124,7 +125,7 @@
 #[test]
 fn a_slow_kind_gets_fewer_keys_where_weights_do_not_tell_speeds() {
     let share = |sized| {
-        let mut node = Node::new(Settings { sized, ..settings() }, 1);
+        let mut node = Node::new(Settings { nominal_weights: sized, ..settings() }, 1);
         let entry = |i: u8| ServerEntry {
             kind: Some(Name::from(if i < 5 { "x" } else { "y" })),
             ..ServerEntry::new(&char::from(b'a' + i).to_string())
--- a/tests/hashing.rs
+++ b/tests/hashing.rs
@@ -23,7 +23,7 @@
 fn a_leaver_moves_its_own_keys_only_and_a_return_brings_them_back() {
     let mut node = Node::with_servers(settings(), 8);
     let before = owners(&mut node);
-    let gone = ServerEntry { availability: Availability::Gone, ..ServerEntry::new("d") };
+    let gone = ServerEntry { availability: Availability::Removed, ..ServerEntry::new("d") };
     node.changes(vec![gone]);
     let without = owners(&mut node);
     for (key, owner) in &before {
@@ -55,7 +55,7 @@
 /// a server that is slow for seconds loses most of its own.
 #[test]
 fn weights_that_jitter_move_few_keys_and_one_that_stays_low_moves_them() {
-    let mut node = Node::with_servers(Settings { sized: false, ..settings() }, 8);
+    let mut node = Node::with_servers(Settings { nominal_weights: false, ..settings() }, 8);
     let mut rng = fastrand::Rng::with_seed(7);
     let lists = |node: &mut Node, weights: &mut dyn FnMut(u8) -> f64, count| {
         for _ in 0..count {
@@ -83,7 +83,7 @@
 /// No weight at all says no more than a very small one, and is made good as soon as a weight is told again.
 #[test]
 fn a_weight_of_zero_is_survived_and_forgotten() {
-    let mut node = Node::new(Settings { sized: false, ..settings() }, 1);
+    let mut node = Node::new(Settings { nominal_weights: false, ..settings() }, 1);
     let sized = |weight| ServerEntry { weight, ..ServerEntry::new("a") };
     node.full_list(vec![sized(0.0), ServerEntry::new("b")]);
     for weight in [[0.0; 40], [1.0; 40]].concat() {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -249,7 +249,7 @@
     // The danger: heavy requests are late by their own work, and a calm fleet's limits creep down until it refuses.
     let sent_at = |nodes, waiting| {
         let mut node = Node::with_servers(Settings { nodes, ..settings() }, 6);
-        node.load.waiting = Some(waiting);
+        node.load.queue_length = Some(waiting);
         offer_every(&mut node, 30, 140, None).0
     };
     assert!(sent_at(2, 0.0) >= 95, "{} of 100 were sent", sent_at(2, 0.0));
@@ -355,17 +355,17 @@
         sent
     };
     for key in 0..20 {
-        ask(&mut node, key, Status::Ok, Some(Note::Hit));
+        ask(&mut node, key, Status::Ok, Some(CacheStatus::Hit));
     }
     for key in 100..130 {
         ask(&mut node, key, Status::Failed, None);
     }
-    let asked = (200..220).filter(|&key| ask(&mut node, key, Status::Ok, Some(Note::Miss))).count();
+    let asked = (200..220).filter(|&key| ask(&mut node, key, Status::Ok, Some(CacheStatus::Miss))).count();
     assert!(asked <= 3, "{asked} of 20 likely misses were sent");
-    assert!(ask(&mut node, 3, Status::Ok, Some(Note::Hit)), "a key that is held is served");
+    assert!(ask(&mut node, 3, Status::Ok, Some(CacheStatus::Hit)), "a key that is held is served");
     // Its queue is worked down within a few aims.
     node.pass(ms(2_400));
-    let asked = (300..320).filter(|&key| ask(&mut node, key, Status::Ok, Some(Note::Miss))).count();
+    let asked = (300..320).filter(|&key| ask(&mut node, key, Status::Ok, Some(CacheStatus::Miss))).count();
     assert!(asked >= 15, "{asked} of 20 were sent once it was rested");
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -55,7 +55,7 @@
     let mut node = Node::with_servers(settings(), 3);
     let within = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
-            Action::Send { begin_within, .. } => Some(*begin_within),
+            Action::Send { start_within: begin_within, .. } => Some(*begin_within),
             _ => None,
         })
     };
@@ -73,7 +73,7 @@
 #[test]
 fn a_keyed_request_stays_in_its_cell() {
     let mut settings = settings();
-    settings.classes[1].effect = Effect::Keyed { scope: Scope::Cell, window: ms(1000) };
+    settings.classes[1].effect = Effect::Keyed { scope: DedupScope::Cell, window: ms(1000) };
     let mut node = Node::new(settings, 1);
     node.full_list(
         (0..6u64).map(|i| ServerEntry { cell: i % 3, ..ServerEntry::new(&format!("s{i}")) }).collect(),
@@ -99,7 +99,7 @@
     let entry = |availability| ServerEntry { availability, ..ServerEntry::new(own.as_str()) };
     node.changes(vec![entry(Availability::Draining)]);
     assert_ne!(node.call(7, Status::Ok), Some(own.clone()));
-    node.changes(vec![entry(Availability::Gone)]);
+    node.changes(vec![entry(Availability::Removed)]);
     assert_ne!(node.call(7, Status::Ok), Some(own.clone()));
     node.changes(vec![entry(Availability::Ready)]);
     // Not by key 7 alone, which makes all of the load so far and is spread.
@@ -153,13 +153,13 @@
 
 #[test]
 fn a_failed_subscription_is_asked_for_again() {
-    let mut node = Node::new(Settings { must_follow: true, ..settings() }, 1);
-    assert!(node.feed(Event::Restored(Vec::new().into())).contains(&Action::Follow));
+    let mut node = Node::new(Settings { must_subscribe: true, ..settings() }, 1);
+    assert!(node.feed(Event::Restored(Vec::new().into())).contains(&Action::Subscribe));
     assert_eq!(node.feed(Event::Timer), [], "once is enough");
     let again = node.feed(Event::Servers(ServerList::Unavailable));
     assert!(matches!(&again[..], [Action::Wake { .. }]), "after a while, not at once: {again:?}");
     node.pass(ms(5_000));
-    assert_eq!(node.trace.iter().filter(|action| **action == Action::Follow).count(), 2);
+    assert_eq!(node.trace.iter().filter(|action| **action == Action::Subscribe).count(), 2);
 }
 
 /// The cold-server budget, counted from outside: what one node sends a fresh server in any span stays under the
@@ -203,11 +203,11 @@
     let per_server = all / 15.0 / 10.0;
     for (i, at) in to_cold.iter().enumerate() {
         let within =
-            to_cold[i..].iter().take_while(|later| later.since(*at) <= node.settings.fall_span).count();
+            to_cold[i..].iter().take_while(|later| later.since(*at) <= node.settings.overload_window).count();
         let age = at.since(born).as_secs_f64() / node.settings.warm_within.as_secs_f64();
         if age < 0.9 {
             let capacity = per_server * (node.settings.cold_share + (1.0 - node.settings.cold_share) * age);
-            let most = node.settings.fall_multiple * capacity * 1.2 + 2.0;
+            let most = node.settings.overload_multiple * capacity * 1.2 + 2.0;
             assert!((within as f64) < most, "{within} in a span, {most} allowed at age {age}");
         }
     }
@@ -215,21 +215,21 @@
 
 fn arbitrary(seed: u64) -> Vec<Action> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let scopes = [Scope::All, Scope::Zone, Scope::Cell];
+    let scopes = [DedupScope::All, DedupScope::Zone, DedupScope::Cell];
     let (mut settings, origin) = if rng.bool() { aside() } else { (settings(), ServerEntry::new("zz")) };
     settings.classes[1].effect =
         Effect::Keyed { scope: scopes[rng.usize(0..3)], window: ms(rng.u64(1..900)) };
-    settings.second_copies = rng.bool();
+    settings.hedging = rng.bool();
     settings.cancelling = rng.bool();
     settings.probing = rng.bool();
-    settings.must_follow = rng.bool();
+    settings.must_subscribe = rng.bool();
     settings.max_attempts = rng.u32(1..7);
     let mut node = Node::new(settings, seed);
     let entry = |rng: &mut fastrand::Rng, i: u64, now: Timestamp| ServerEntry {
         zone: Some(Name::from(["x", "y"][rng.usize(0..2)])),
         cell: rng.u64(0..3),
         weight: [0.0, 0.5, 1.0, 4.0, f64::NAN][rng.usize(0..5)],
-        availability: [Availability::Ready, Availability::Draining, Availability::Gone]
+        availability: [Availability::Ready, Availability::Draining, Availability::Removed]
             [rng.usize(0..9).max(6) - 6],
         started: rng.bool().then_some(Timestamp::from_micros(now.as_micros() - rng.u64(0..9_000_000))),
         ..ServerEntry::new(&format!("s{i}"))
@@ -240,7 +240,7 @@
                 let mut list = vec![origin.clone()];
                 for i in 0..rng.u64(0..9) {
                     let entry = entry(&mut rng, i, node.now);
-                    list.extend((entry.availability != Availability::Gone).then_some(entry));
+                    list.extend((entry.availability != Availability::Removed).then_some(entry));
                 }
                 node.full_list(list);
             }
@@ -306,7 +306,8 @@
     let (_, server) = node.out(&id).expect("sent");
     let (note, load) = (None, LoadReport::default());
     let (status, took, finished) = (Status::Failed, ms(1), false);
-    let stray = Outcome { id: id.clone(), attempt: 9, server, status, note, took, finished, load };
+    let stray =
+        Outcome { id: id.clone(), attempt: 9, server, status, cache_status: note, took, finished, load };
     assert_eq!(node.feed(Event::Outcome(stray)), []);
     node.pass(ms(500));
     assert!(node.requests[&id].ended);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -14,22 +14,24 @@
 
 fn parse(lines: &[&str]) -> Vec<Input> {
     let mut parser = Parser::default();
-    lines.iter().filter_map(|line| parser.line(line).expect("well-formed")).collect()
+    lines.iter().filter_map(|line| parser.parse_line(line).expect("well-formed")).collect()
 }
 
 #[test]
 fn settings_are_read_and_unknown_ones_skipped() {
-    let Input::Start { who: 3, seed: 5, settings } = parse(&[START]).remove(0) else { panic!("a start") };
+    let Input::Start { instance: 3, seed: 5, settings } = parse(&[START]).remove(0) else {
+        panic!("a start")
+    };
     assert_eq!(settings.classes.len(), 2);
-    let keyed = Effect::Keyed { scope: Scope::Zone, window: Duration::from_millis(600) };
+    let keyed = Effect::Keyed { scope: DedupScope::Zone, window: Duration::from_millis(600) };
     assert_eq!(settings.classes[1].effect, keyed);
     assert_eq!(settings.tenants[0].quota_per_s, 12.5);
     assert_eq!(settings.mode, CacheMode::Aside { origin_kind: "origin".into() });
     assert_eq!(settings.max_retry_after, Duration::from_secs(1));
-    assert!(settings.must_follow && settings.second_copies);
+    assert!(settings.must_subscribe && settings.hedging);
     assert_eq!(
-        settings.fall_multiple,
-        Settings::default().fall_multiple,
+        settings.overload_multiple,
+        Settings::default().overload_multiple,
         "what is missing keeps its default"
     );
 }
@@ -37,7 +39,7 @@
 #[test]
 fn a_request_is_read_whole() {
     let line = "submit who=3 request_id=c:x cls=log party=t1 object=17 valid_until_us=900 expected_us=12 options=7 odd=1";
-    let Input::Event { who: 3, event: Event::Request(request) } = parse(&[START, line]).remove(1) else {
+    let Input::Event { instance: 3, event: Event::Request(request) } = parse(&[START, line]).remove(1) else {
         panic!("a request")
     };
     assert_eq!(request.class, Some(ClassId(1)));
@@ -53,11 +55,18 @@
     let odd = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
     let inputs = parse(&[line, odd]);
     let Input::Event { event: Event::Outcome(outcome), .. } = &inputs[0] else { panic!("an outcome") };
-    assert_eq!((outcome.attempt, outcome.status, outcome.note), (2, Status::Miss, Some(Note::MissFetching)));
+    assert_eq!(
+        (outcome.attempt, outcome.status, outcome.cache_status),
+        (2, Status::Miss, Some(CacheStatus::MissFetching))
+    );
     assert!(outcome.finished);
     assert_eq!(
         outcome.load,
-        LoadReport { service_time: Some(Duration::from_micros(1500)), busy: Some(0.25), waiting: Some(2.0) }
+        LoadReport {
+            service_time: Some(Duration::from_micros(1500)),
+            utilization: Some(0.25),
+            queue_length: Some(2.0)
+        }
     );
     assert!(
         matches!(&inputs[1], Input::Event { event: Event::Outcome(o), .. } if o.status == Status::Failed)
@@ -124,7 +133,7 @@
     ] {
         let mut parser = Parser::default();
         let errors: Vec<String> =
-            lines.iter().filter_map(|line| parser.line(line).err()).map(|e| e.to_string()).collect();
+            lines.iter().filter_map(|line| parser.parse_line(line).err()).map(|e| e.to_string()).collect();
         assert_eq!(errors.len(), 1, "{lines:?}");
         assert!(errors[0].contains(word) && !errors[0].contains('\n'), "{errors:?}");
     }
@@ -136,7 +145,7 @@
     let time = Duration::from_micros(250);
     for (action, line) in [
         (
-            Action::Send { id: id.clone(), server: server.clone(), timeout: time, begin_within: None },
+            Action::Send { id: id.clone(), server: server.clone(), timeout: time, start_within: None },
             "send who=3 request_id=c:x server=s:1 allow_for_us=250\n",
         ),
         (
@@ -144,7 +153,7 @@
                 id: id.clone(),
                 server: server.clone(),
                 timeout: Duration::ZERO,
-                begin_within: None,
+                start_within: None,
             },
             "send who=3 request_id=c:x server=s:1 allow_for_us=1\n",
         ),
@@ -156,7 +165,7 @@
         (Action::Fail { id, reason: EndReason::NoServer }, "report_failure who=3 request_id=c:x\n"),
         (Action::Wake { after: time }, "wake_at who=3 nonce=w sleep_for_us=250\n"),
         (Action::Probe { server }, "health_check who=3 server=s:1\n"),
-        (Action::Follow, "follow who=3 on=1\n"),
+        (Action::Subscribe, "follow who=3 on=1\n"),
         (Action::Log("two\nlines".into()), "write_log who=3 body_text=two lines\n"),
     ] {
         let mut out = String::new();
@@ -219,7 +228,10 @@
         assert_eq!(list[0].weight, 1.0);
         let Input::Start { settings, .. } = inputs.remove(0) else { panic!("a start") };
         let other = Settings::default();
-        assert_eq!((settings.cold_share, settings.fall_multiple), (other.cold_share, other.fall_multiple));
+        assert_eq!(
+            (settings.cold_share, settings.overload_multiple),
+            (other.cold_share, other.overload_multiple)
+        );
         assert_eq!(settings.over_share_worth, other.over_share_worth);
         assert_eq!((settings.classes[0].worth, settings.classes[0].late_worth), (1.0, 0.0));
     }
@@ -241,6 +253,6 @@
 #[test]
 fn a_panic_in_a_decision_is_reported_on_one_line_with_its_text() {
     let mut reply = String::new();
-    walkpick::wire::write_fault(&mut reply, 3, "index\nout of range");
+    walkpick::wire::write_panic(&mut reply, 3, "index\nout of range");
     assert_eq!(reply, "bail_out who=3 body_text=index out of range\n");
 }
