--- a/lab/src/capacity/encoded.rs
+++ b/lab/src/capacity/encoded.rs
@@ -38,7 +38,14 @@
         let address = SocketAddr::from((Ipv4Addr::from_bits(0x0a00_0001 + node), PORT));
         let order = random.random_range(STARTS);
         let name = format!("n{node}");
-        let peer = Peer { address, order, salt: random.random(), observer: false, name, more: Vec::new() };
+        let peer = Peer {
+            address,
+            generation: order,
+            salt: random.random(),
+            observer: false,
+            name,
+            metadata: Vec::new(),
+        };
         bytes += postcard::to_stdvec(&peer)?.len();
     }
     Ok(bytes as f64)
--- a/lab/src/capacity/rows/control.rs
+++ b/lab/src/capacity/rows/control.rs
@@ -11,7 +11,7 @@
 /// Headers of UDP and of IP, version 4: budgets and series count datagrams without them.
 const HEADERS: f64 = 28.0;
 /// The largest datagram between peers.
-const DATAGRAM: f64 = walkpick::peers::LARGEST as f64;
+const DATAGRAM: f64 = walkpick::peers::MAX_DATAGRAM_BYTES as f64;
 const LOG_TIME: &str = "dissemination.seconds_to_all.log";
 const STATE_TIME: &str = "dissemination.seconds_to_all.state";
 
--- a/lab/src/cluster/cases/known.rs
+++ b/lab/src/cluster/cases/known.rs
@@ -3,7 +3,7 @@
 use crate::cluster::{AgreementChange, StandingChange};
 use crate::model::Micros;
 use std::collections::BTreeMap;
-use walkpick::peers::{Agreement, Standing};
+use walkpick::peers::{Agreement, PeerStatus};
 
 /// Pairs of an observer and a subject, of which the observer is to report the subject's new standing: all across the line
 /// between the nodes that were affected and the others, as far as observers run.
@@ -13,7 +13,7 @@
     /// Whether those affected report as well.
     pub both_ways: bool,
     /// What is to be reported.
-    pub standing: Standing,
+    pub standing: PeerStatus,
 }
 
 impl ExpectedReports<'_> {
--- a/lab/src/cluster/cases/play.rs
+++ b/lab/src/cluster/cases/play.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use std::time::Duration;
 use thiserror::Error;
-use walkpick::peers::{PeersConfig, Standing};
+use walkpick::peers::{PeerStatus, PeersConfig};
 
 /// All nodes have so long to find each other.
 const JOIN_LIMIT: Micros = 60 * SECOND;
@@ -85,18 +85,18 @@
             seed,
             settle: SETTLE,
             rest: REST,
-            probe_every: micros(config.probe_every),
+            probe_every: micros(config.probe_interval),
             probe_timeout: micros(config.probe_timeout),
-            suspicion: config.suspicion,
+            suspicion: config.suspicion_multiplier,
         }
     }
 
     fn config(&self) -> PeersConfig {
         PeersConfig {
-            nodes: self.nodes as u32,
-            probe_every: Duration::from_micros(self.probe_every),
+            configured_nodes: self.nodes as u32,
+            probe_interval: Duration::from_micros(self.probe_every),
             probe_timeout: Duration::from_micros(self.probe_timeout),
-            suspicion: self.suspicion,
+            suspicion_multiplier: self.suspicion,
             ..PeersConfig::default()
         }
     }
@@ -183,9 +183,9 @@
         let measured_until = self.cluster.now();
         self.cluster.run(TAIL);
         let [known_p50, known_p99, known_all] = self.known();
-        let lost = |change: &&StandingChange| change.standing == Standing::Lost && self.is_false(change);
+        let lost = |change: &&StandingChange| change.standing == PeerStatus::Lost && self.is_false(change);
         let suspected =
-            |change: &&StandingChange| change.standing == Standing::Suspected && self.is_false(change);
+            |change: &&StandingChange| change.standing == PeerStatus::Suspected && self.is_false(change);
         let changes = &self.cluster.standing_changes;
         let after_heal = |change: &&StandingChange| self.is_partition() && change.at >= ended;
         let now = self.cluster.now();
@@ -318,9 +318,9 @@
     /// Until half, 99 in 100 and all had reported who was lost or left.
     fn known(&self) -> [Option<Micros>; 3] {
         let standing = match self.play.case {
-            Case::Kill | Case::RackLost | Case::ZoneLost | Case::ZoneShareLost => Standing::Lost,
-            Case::Split | Case::RegionCut => Standing::Lost,
-            Case::Leave => Standing::Left,
+            Case::Kill | Case::RackLost | Case::ZoneLost | Case::ZoneShareLost => PeerStatus::Lost,
+            Case::Split | Case::RegionCut => PeerStatus::Lost,
+            Case::Leave => PeerStatus::Left,
             _ => return [None; 3],
         };
         let expected =
--- a/lab/src/cluster/memory.rs
+++ b/lab/src/cluster/memory.rs
@@ -47,7 +47,7 @@
 }
 
 fn joined(nodes: usize, seed: u64) -> Result<SimulatedCluster, MemoryError> {
-    let config = PeersConfig { nodes: nodes as u32, ..PeersConfig::default() };
+    let config = PeersConfig { configured_nodes: nodes as u32, ..PeersConfig::default() };
     let mut cluster = SimulatedCluster::new(config, nodes, SEEDS.min(nodes), seed);
     (0..nodes).for_each(|node| cluster.start(node));
     if cluster.run_until(JOIN_LIMIT, SimulatedCluster::converged).is_none() {
--- a/lab/src/cluster/record.rs
+++ b/lab/src/cluster/record.rs
@@ -1,7 +1,7 @@
 //! What a simulated cluster records while it runs.
 
 use crate::model::Micros;
-use walkpick::peers::{Agreement, Standing};
+use walkpick::peers::{Agreement, PeerStatus};
 
 /// A node reported that a peer's standing changed.
 #[derive(Clone, Debug)]
@@ -13,7 +13,7 @@
     /// The peer whose standing changed.
     pub subject: usize,
     /// Its new standing.
-    pub standing: Standing,
+    pub standing: PeerStatus,
     /// Whether that process ran and could be reached from the observer: then it must not be reported as lost.
     pub reachable: bool,
 }
--- a/lab/src/cluster/simulated.rs
+++ b/lab/src/cluster/simulated.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeSet, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
 use walkpick::peers::dissemination::{DisseminationOutput, StateKey};
-use walkpick::peers::{Agreement, Output, Peer, Peers, PeersConfig, Standing, View};
+use walkpick::peers::{Agreement, Output, Peer, PeerStatus, Peers, PeersConfig, View};
 
 /// Unix time at the start, in microseconds.
 const EPOCH: u64 = 1_700_000_000_000_000;
@@ -170,13 +170,20 @@
         state.incarnation += 1;
         let order = (EPOCH + self.now).saturating_add_signed(state.clock_offset_us);
         let salt = self.random.random();
-        let me = Peer { address: address(node), order, salt, observer: false, name: name.to_owned(), more };
+        let me = Peer {
+            address: address(node),
+            generation: order,
+            salt,
+            observer: false,
+            name: name.to_owned(),
+            metadata: more,
+        };
         let seed =
             draw::unit(self.seed, draw::Stream::Lists, (node as u64) << 32 | u64::from(state.incarnation))
                 .to_bits();
         state.peers = Some(Peers::new(self.config.clone(), me, seed, self.now));
         (state.started_as, state.paused, state.timers_at) = (order, None, None);
-        self.counts[node] = self.config.nodes;
+        self.counts[node] = self.config.configured_nodes;
         self.schedule_timers(node);
     }
 
@@ -250,7 +257,7 @@
     }
 
     /// The datagrams that a node has dropped.
-    pub fn dropped(&self, node: usize) -> walkpick::peers::Dropped {
+    pub fn dropped(&self, node: usize) -> walkpick::peers::DroppedDatagrams {
         self.nodes[node].peers.as_ref().map(Peers::dropped).unwrap_or_default()
     }
 
@@ -309,7 +316,7 @@
         }
         let mut out = Vec::new();
         if let Some(peers) = &mut self.nodes[node].peers {
-            self.processor.peers(|| peers.timers(self.now, &mut out));
+            self.processor.peers(|| peers.handle_timers(self.now, &mut out));
         }
         self.perform(node, out);
         self.schedule_timers(node);
@@ -317,7 +324,7 @@
 
     fn schedule_timers(&mut self, node: usize) {
         let state = &mut self.nodes[node];
-        let Some(next) = state.peers.as_ref().and_then(Peers::next) else { return };
+        let Some(next) = state.peers.as_ref().and_then(Peers::next_wakeup) else { return };
         let at = next.max(self.now);
         if state.timers_at.is_some_and(|timers_at| timers_at <= at) {
             return;
@@ -343,7 +350,7 @@
         self.traffic.received(node, data.len());
         let mut out = Vec::new();
         if let Some(peers) = &mut state.peers {
-            self.processor.peers(|| peers.datagram(self.now, &data, &mut out));
+            self.processor.peers(|| peers.handle_datagram(self.now, &data, &mut out));
         }
         self.perform(node, out);
         self.schedule_timers(node);
@@ -353,17 +360,17 @@
         for output in out {
             match output {
                 Output::Send { to, data } => self.send(node, to, data),
-                Output::Standing { peer, standing } => {
+                Output::StatusChanged { peer, status: standing } => {
                     self.note_standing(node, &peer, standing);
                 }
-                Output::Agreement(agreement) => {
+                Output::AgreementChanged(agreement) => {
                     let change = AgreementChange { at: self.now, observer: node, agreement };
                     self.agreement_changes.push(change);
                 }
-                Output::Count(count) => self.counts[node] = count,
-                Output::NameClaimed { yields: true, .. } => self.yielded.push(node),
-                Output::NameClaimed { .. } => {}
-                Output::CameBack => (self.rejoined, self.last_rejoined) = (self.rejoined + 1, node),
+                Output::EffectiveNodes(count) => self.counts[node] = count,
+                Output::NameConflict { yields: true, .. } => self.yielded.push(node),
+                Output::NameConflict { .. } => {}
+                Output::Rejoined => (self.rejoined, self.last_rejoined) = (self.rejoined + 1, node),
                 Output::Dissemination(output) => self.note_disseminated(node, output),
             }
         }
@@ -400,14 +407,14 @@
         self.nodes[node].peers.as_ref()
     }
 
-    fn note_standing(&mut self, observer: usize, peer: &Peer, standing: Standing) {
+    fn note_standing(&mut self, observer: usize, peer: &Peer, standing: PeerStatus) {
         let Some(subject) = node_at(peer.address).filter(|node| *node < self.nodes.len()) else { return };
         // Who joins is seen by everybody at once: views tell of that.
-        if standing == Standing::Present {
+        if standing == PeerStatus::Present {
             return;
         }
         let state = &self.nodes[subject];
-        let runs = state.peers.is_some() && state.paused.is_none() && peer.order >= state.started_as;
+        let runs = state.peers.is_some() && state.paused.is_none() && peer.generation >= state.started_as;
         let reachable = runs && !self.cut(observer, subject) && !self.cut(subject, observer);
         let change = StandingChange { at: self.now, observer, subject, standing, reachable };
         self.standing_changes.push(change);
--- a/lab/src/dissemination/joint.rs
+++ b/lab/src/dissemination/joint.rs
@@ -46,7 +46,7 @@
 /// Runs a load on as many peers as it names, with their membership.
 pub fn run(load: &Load) -> Outcome {
     let config = PeersConfig {
-        nodes: load.nodes as u32,
+        configured_nodes: load.nodes as u32,
         dissemination: Some(DisseminationConfig::default()),
         ..PeersConfig::default()
     };
--- a/lab/src/hollow/figures.rs
+++ b/lab/src/hollow/figures.rs
@@ -7,7 +7,7 @@
 use crate::scale::FigureMeaning;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::LazyLock;
-use walkpick::peers::Standing;
+use walkpick::peers::PeerStatus;
 
 const SECOND: Micros = 1_000_000;
 /// Bytes are told as the largest mean over so many seconds.
@@ -308,7 +308,7 @@
         let apart = phase.cut.contains(&word.by) != phase.cut.contains(&word.of);
         meanwhile && (phase.gone.contains(&word.of) || apart)
     };
-    word.standing == Standing::Lost && !phases.iter().any(excused)
+    word.standing == PeerStatus::Lost && !phases.iter().any(excused)
 }
 
 #[cfg(test)]
--- a/lab/src/hollow/figures/tests.rs
+++ b/lab/src/hollow/figures/tests.rs
@@ -14,7 +14,7 @@
 }
 
 fn word(at_s: Micros, by: usize, of: usize) -> Word {
-    Word { at: at_s * SECOND, by, of, standing: Standing::Lost }
+    Word { at: at_s * SECOND, by, of, standing: PeerStatus::Lost }
 }
 
 fn node(node: usize, bytes: Vec<u32>) -> NodeReport {
--- a/lab/src/hollow/node.rs
+++ b/lab/src/hollow/node.rs
@@ -18,7 +18,7 @@
 use walkpick::peers::dissemination::{
     DisseminationConfig, DisseminationOutput, Line, PublishError, StateKey,
 };
-use walkpick::peers::{Dropped, Output, Peer, Peers, PeersConfig, Standing, ViewSummary};
+use walkpick::peers::{DroppedDatagrams, Output, Peer, PeerStatus, Peers, PeersConfig, ViewSummary};
 
 /// A datagram of ours is never longer.
 const LARGEST: usize = 2_048;
@@ -139,7 +139,7 @@
     /// Runs for as long as its orders may come.
     pub async fn run(mut self) {
         loop {
-            let next = self.peers.as_ref().and_then(Peers::next);
+            let next = self.peers.as_ref().and_then(Peers::next_wakeup);
             let timer = async {
                 match next {
                     Some(at) => sleep_until(self.shared.clock.moment(at)).await,
@@ -182,7 +182,7 @@
         }
         let now = self.shared.clock.now();
         if let Some(peers) = &mut self.peers {
-            peers.datagram(now, data, &mut self.outputs);
+            peers.handle_datagram(now, data, &mut self.outputs);
         }
         self.carry_out(now);
     }
@@ -190,7 +190,7 @@
     fn hand_over(&mut self, data: &[u8]) {
         let now = self.shared.clock.now();
         if let Some(peers) = &mut self.peers {
-            peers.datagram(now, data, &mut self.outputs);
+            peers.handle_datagram(now, data, &mut self.outputs);
         }
         self.carry_out(now);
     }
@@ -198,8 +198,8 @@
     fn timers(&mut self) {
         let now = self.shared.clock.now();
         if let Some(peers) = &mut self.peers {
-            if peers.next().is_some_and(|at| at <= now) {
-                peers.timers(now, &mut self.outputs);
+            if peers.next_wakeup().is_some_and(|at| at <= now) {
+                peers.handle_timers(now, &mut self.outputs);
             }
         }
         self.carry_out(now);
@@ -273,11 +273,11 @@
         let draw = begin.seed ^ (self.seen.node as u64) << 20 ^ u64::from(self.lives) << 48;
         let me = Peer {
             address: self.address,
-            order: u64::try_from(unix.as_micros()).unwrap_or(u64::MAX),
+            generation: u64::try_from(unix.as_micros()).unwrap_or(u64::MAX),
             salt: self.lives,
             observer: false,
             name: name(self.seen.node),
-            more: self.place.location().encode(),
+            metadata: self.place.location().encode(),
         };
         self.seen.report.borrow_mut().lives.push(Life { from: now, ..Life::default() });
         self.peers = Some(Peers::new(configuration(begin), me, draw, now));
@@ -293,7 +293,8 @@
     fn show(&self) {
         self.seen.view.set(self.peers.as_ref().map(Peers::summary));
         if let Some(peers) = &self.peers {
-            let Dropped { foreign, malformed, flood, crowd } = peers.dropped();
+            let DroppedDatagrams { foreign, malformed, rate_limited: flood, too_many_peers: crowd } =
+                peers.dropped();
             self.seen.dropped.set(foreign + malformed + flood + crowd);
         }
     }
@@ -313,12 +314,12 @@
                 super::meters::count_bytes(&mut self.seen.report.borrow_mut(), now, data.len());
                 self.shared.network.send(self.place, &self.socket, to, data);
             }
-            Output::Standing { peer, standing: standing @ (Standing::Lost | Standing::Left) } => {
+            Output::StatusChanged { peer, status: standing @ (PeerStatus::Lost | PeerStatus::Left) } => {
                 let Some(&of) = self.shared.by_address.get(&peer.address) else { return };
                 let word = Word { at: now, by: self.seen.node, of, standing };
                 self.shared.words.borrow_mut().push(word);
             }
-            Output::CameBack => self.seen.report.borrow_mut().came_back += 1,
+            Output::Rejoined => self.seen.report.borrow_mut().came_back += 1,
             Output::Dissemination(output) => self.hear(now, output),
             _ => {}
         }
@@ -335,9 +336,9 @@
     PeersConfig {
         cluster: begin.cluster.clone(),
         seeds: begin.seeds.iter().filter_map(|seed| begin.addresses.get(*seed).copied()).collect(),
-        probe_every: Duration::from_micros(begin.probe_every),
+        probe_interval: Duration::from_micros(begin.probe_every),
         probe_timeout: Duration::from_micros(begin.probe_timeout),
-        nodes: u32::try_from(begin.addresses.len() + begin.complete.len()).unwrap_or(u32::MAX),
+        configured_nodes: u32::try_from(begin.addresses.len() + begin.complete.len()).unwrap_or(u32::MAX),
         dissemination: begin.dissemination.then(DisseminationConfig::default),
         ..PeersConfig::default()
     }
--- a/lab/src/hollow/protocol.rs
+++ b/lab/src/hollow/protocol.rs
@@ -4,7 +4,7 @@
 use super::places::Map;
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
-use walkpick::peers::{Agreement, Standing};
+use walkpick::peers::{Agreement, PeerStatus};
 
 /// Microseconds since the run's origin, on the machine's monotonic clock, which all processes share.
 pub type Micros = u64;
@@ -278,7 +278,7 @@
     /// Of whom.
     pub of: usize,
     /// What became of it: lost or left.
-    pub standing: Standing,
+    pub standing: PeerStatus,
 }
 
 /// Processor time and memory of a process.
--- a/lab/src/hollow/settings.rs
+++ b/lab/src/hollow/settings.rs
@@ -107,7 +107,7 @@
 impl Default for Hollow {
     fn default() -> Self {
         let ms = Duration::from_millis;
-        let PeersConfig { probe_every, probe_timeout, .. } = PeersConfig::default();
+        let PeersConfig { probe_interval: probe_every, probe_timeout, .. } = PeersConfig::default();
         Self {
             nodes: vec![530],
             processes: MOST_PROCESSES,
--- a/lab/src/measure/hollow_peers.rs
+++ b/lab/src/measure/hollow_peers.rs
@@ -37,11 +37,18 @@
             let config = PeersConfig {
                 cluster: cluster.to_owned(),
                 seeds: vec![seed],
-                nodes,
+                configured_nodes: nodes,
                 ..PeersConfig::default()
             };
             let name = format!("peer-{place:04}");
-            let me = Peer { address, order: 1, salt: place as u32, observer: false, name, more: Vec::new() };
+            let me = Peer {
+                address,
+                generation: 1,
+                salt: place as u32,
+                observer: false,
+                name,
+                metadata: Vec::new(),
+            };
             let peers = Peers::new(config, me, place as u64, 0);
             tasks.push(spawn_local(async move { drop(run(socket, peers).await) }));
         }
@@ -59,15 +66,16 @@
     let (start, mut buffer, mut out) = (Instant::now(), vec![0; LONGEST], Vec::new());
     loop {
         let now = || u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
-        let next = peers.next().map_or_else(|| Instant::now() + REST, |at| start + Duration::from_micros(at));
+        let next =
+            peers.next_wakeup().map_or_else(|| Instant::now() + REST, |at| start + Duration::from_micros(at));
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
                 // An error is a peer's machine that refused an earlier datagram.
                 if let Ok((length, _)) = received {
-                    peers.datagram(now(), &buffer[..length], &mut out);
+                    peers.handle_datagram(now(), &buffer[..length], &mut out);
                 }
             }
-            () = sleep_until(next) => peers.timers(now(), &mut out),
+            () = sleep_until(next) => peers.handle_timers(now(), &mut out),
         }
         for output in out.drain(..) {
             if let Output::Send { to, data } = output {
--- a/lab/tests/membership.rs
+++ b/lab/tests/membership.rs
@@ -1,12 +1,12 @@
 //! Membership in simulated time: the hard cases, each on a network that loses datagrams as well as on a good one.
 
-use walkpick::peers::{Agreement, Output, Peer, Peers, PeersConfig, Standing};
+use walkpick::peers::{Agreement, Output, Peer, PeerStatus, Peers, PeersConfig};
 use walkpick_lab::cluster::cases::{self, Case, CaseOutcome, Play};
 use walkpick_lab::cluster::{address, LinkConditions, SimulatedCluster};
 use walkpick_lab::model::SECOND;
 
 fn config(nodes: usize) -> PeersConfig {
-    PeersConfig { nodes: nodes as u32, ..PeersConfig::default() }
+    PeersConfig { configured_nodes: nodes as u32, ..PeersConfig::default() }
 }
 
 /// Nodes that have met.
@@ -47,10 +47,10 @@
     cluster.run(40 * SECOND);
     assert_eq!(cluster.rejoined, 0);
     assert!(
-        cluster.standing_changes.iter().any(|change| change.standing == Standing::Suspected),
+        cluster.standing_changes.iter().any(|change| change.standing == PeerStatus::Suspected),
         "the loss was seen"
     );
-    assert!(!cluster.standing_changes.iter().any(|change| change.standing == Standing::Lost));
+    assert!(!cluster.standing_changes.iter().any(|change| change.standing == PeerStatus::Lost));
 }
 
 #[test]
@@ -66,7 +66,7 @@
     };
     cluster.standing_changes.clear();
     cluster.run(30 * SECOND);
-    assert!(!cluster.standing_changes.iter().any(|change| change.standing == Standing::Lost));
+    assert!(!cluster.standing_changes.iter().any(|change| change.standing == PeerStatus::Lost));
     assert!(cluster.run_until(10 * SECOND, SimulatedCluster::converged).is_some());
 }
 
@@ -83,7 +83,7 @@
         let blamed = cluster
             .standing_changes
             .iter()
-            .filter(|change| change.observer == 5 && change.standing == Standing::Lost);
+            .filter(|change| change.observer == 5 && change.standing == PeerStatus::Lost);
         assert_eq!(blamed.count(), 0, "after {seconds} s");
     }
 }
@@ -137,7 +137,7 @@
     });
     cluster.standing_changes.clear();
     cluster.run(40 * SECOND);
-    let gone = cluster.standing_changes.iter().filter(|change| change.standing == Standing::Lost).count();
+    let gone = cluster.standing_changes.iter().filter(|change| change.standing == PeerStatus::Lost).count();
     assert_eq!(gone, 0);
 }
 
@@ -196,9 +196,16 @@
     // One of another cluster asks to join.
     let other = PeersConfig { cluster: "other".into(), seeds: vec![address(0)], ..config(2) };
     let more = b"later".to_vec();
-    let me = Peer { address: address(9), order: 1, salt: 1, observer: false, name: "x".into(), more };
+    let me = Peer {
+        address: address(9),
+        generation: 1,
+        salt: 1,
+        observer: false,
+        name: "x".into(),
+        metadata: more,
+    };
     let (mut stranger, mut out) = (Peers::new(other, me, 1, 0), Vec::new());
-    stranger.timers(0, &mut out);
+    stranger.handle_timers(0, &mut out);
     let asks = out.iter().filter_map(|output| match output {
         Output::Send { data, .. } => Some(data),
         _ => None,
@@ -213,7 +220,7 @@
     for _ in 0..100_000 {
         cluster.inject(0, &[1, 2, 3]);
     }
-    assert!(cluster.dropped(0).flood > 90_000, "{:?}", cluster.dropped(0));
+    assert!(cluster.dropped(0).rate_limited > 90_000, "{:?}", cluster.dropped(0));
     cluster.run(5 * SECOND);
     assert_eq!(cluster.view(0).map(|view| view.nodes), before);
     assert!(cluster.run_until(10 * SECOND, SimulatedCluster::converged).is_some());
@@ -226,9 +233,16 @@
     let mut cluster = met(3, 19);
     let config = PeersConfig { seeds: vec![address(0)], ..config(4) };
     let more = b"region=1".to_vec();
-    let later = Peer { address: address(3), order: 1, salt: 1, observer: false, name: "later".into(), more };
+    let later = Peer {
+        address: address(3),
+        generation: 1,
+        salt: 1,
+        observer: false,
+        name: "later".into(),
+        metadata: more,
+    };
     let (mut peers, mut out) = (Peers::new(config, later.clone(), 1, 0), Vec::new());
-    peers.timers(0, &mut out);
+    peers.handle_timers(0, &mut out);
     let asks = out.iter().filter_map(|output| match output {
         Output::Send { data, .. } => Some([&data[..], b"and more"].concat()),
         _ => None,
--- a/src/members.rs
+++ b/src/members.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::runtime;
 use tokio::time::{sleep_until, Instant};
-use walkpick::peers::{Agreement, Location, PeersConfig, Standing, View};
+use walkpick::peers::{Agreement, Location, PeerStatus, PeersConfig, View};
 
 #[derive(Debug, Args)]
 pub struct Members {
@@ -61,7 +61,7 @@
             let view = peering.peers().view(peering.now());
             let settled = view.agreement == Agreement::Agreed
                 && view.nodes > 0
-                && u128::from(view.since) >= SETTLES.as_micros();
+                && u128::from(view.agreement_age_us) >= SETTLES.as_micros();
             if over || settled {
                 peering.leave(&mut told);
                 return Ok(view);
@@ -75,14 +75,18 @@
         |micros: u64| humantime::format_duration(Duration::from_secs(micros / 1_000_000)).to_string();
     let mut lines = vec![format!("{:16} {:22} {:10} {}", "node", "address", "", "seen so for")];
     for seen in view.peers.iter().filter(|seen| !seen.peer.observer) {
-        let standing = match seen.standing {
-            Standing::Present => "present",
-            Standing::Suspected => "suspected",
-            Standing::Left => "left",
-            Standing::Lost => "lost",
+        let standing = match seen.status {
+            PeerStatus::Present => "present",
+            PeerStatus::Suspected => "suspected",
+            PeerStatus::Left => "left",
+            PeerStatus::Lost => "lost",
         };
         let address = seen.peer.address.to_string();
-        lines.push(format!("{:16} {address:22} {standing:10} {}", seen.peer.name, seconds(seen.since)));
+        lines.push(format!(
+            "{:16} {address:22} {standing:10} {}",
+            seen.peer.name,
+            seconds(seen.status_age_us)
+        ));
     }
     let agreement = match view.agreement {
         Agreement::Agreed => "views agree",
--- a/src/net/config/section.rs
+++ b/src/net/config/section.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use walkpick::peers::dissemination::DisseminationConfig;
-use walkpick::peers::{CountRules, Location, PeersConfig};
+use walkpick::peers::{Location, NodeCountRules, PeersConfig};
 
 /// The section, with a default for each value.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
@@ -43,8 +43,10 @@
 
 impl Default for PeersSection {
     fn default() -> Self {
-        let PeersConfig { cluster, seeds, probe_every, probe_timeout, count, .. } = PeersConfig::default();
-        let (hold, memory) = (count.hold, count.memory);
+        let PeersConfig {
+            cluster, seeds, probe_interval: probe_every, probe_timeout, node_count: count, ..
+        } = PeersConfig::default();
+        let (hold, memory) = (count.decrease_delay, count.peak_window);
         Self {
             advertise: None,
             cluster,
@@ -69,10 +71,14 @@
         PeersConfig {
             cluster: self.cluster.clone(),
             seeds: self.seeds.clone(),
-            probe_every: self.probe_every,
+            probe_interval: self.probe_every,
             probe_timeout: self.probe_timeout,
-            count: CountRules { hold: self.hold, memory: self.memory, ..base.count },
-            nodes,
+            node_count: NodeCountRules {
+                decrease_delay: self.hold,
+                peak_window: self.memory,
+                ..base.node_count
+            },
+            configured_nodes: nodes,
             dissemination: (self.dissemination == Switch::On).then(DisseminationConfig::default),
             ..base
         }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep_until, Duration, Instant};
 use tracing::{debug, error, info, warn};
 use walkpick::peers::dissemination::{DisseminationOutput, Entry, StateKey};
-use walkpick::peers::{Agreement, Location, Micros, Output, Peer, Peers, PeersConfig, Standing};
+use walkpick::peers::{Agreement, Location, Micros, Output, Peer, PeerStatus, Peers, PeersConfig};
 
 use super::lifecycle::Stage;
 
@@ -47,14 +47,21 @@
         let order = u64::try_from(unix.as_micros()).unwrap_or(u64::MAX);
         // Its own draw: two lives that share a seed are two lives all the same.
         let salt = fastrand::u32(..);
-        let me = Peer { address, order, salt, observer, name: name.to_owned(), more: location.encode() };
+        let me = Peer {
+            address,
+            generation: order,
+            salt,
+            observer,
+            name: name.to_owned(),
+            metadata: location.encode(),
+        };
         let (start, buffer, out) = (Instant::now(), vec![0; LARGEST], Vec::new());
         Ok(Self { socket, peers: Peers::new(config, me, seed, 0), start, buffer, out })
     }
 
     /// Where others reach it.
     pub fn address(&self) -> SocketAddr {
-        self.peers.me().address
+        self.peers.local_peer().address
     }
 
     /// The membership.
@@ -69,7 +76,7 @@
 
     /// Waits for datagrams or a time, and takes in what has come; what follows from it is in `told`.
     pub async fn step(&mut self, told: &mut Vec<Output>) {
-        let next = self.peers.next().map(|at| self.start + Duration::from_micros(at));
+        let next = self.peers.next_wakeup().map(|at| self.start + Duration::from_micros(at));
         let time = async {
             match next {
                 Some(at) => sleep_until(at).await,
@@ -87,7 +94,7 @@
                 received => self.take(received),
             }
         }
-        self.peers.timers(self.now(), &mut self.out);
+        self.peers.handle_timers(self.now(), &mut self.out);
         self.carry_out(told);
     }
 
@@ -100,7 +107,7 @@
     fn take(&mut self, received: io::Result<(usize, SocketAddr)>) {
         // An error here is a peer's machine that refused an earlier datagram: the engine sees that by itself.
         if let Ok((length, _)) = received {
-            self.peers.datagram(self.now(), &self.buffer[..length], &mut self.out);
+            self.peers.handle_datagram(self.now(), &self.buffer[..length], &mut self.out);
         }
     }
 
@@ -149,20 +156,20 @@
 
 fn hear(peering: &Peering, output: Output, tell: &impl Fn(u32)) {
     match output {
-        Output::Count(nodes) => {
+        Output::EffectiveNodes(nodes) => {
             info!(target: "peers", nodes, "so many nodes are relied on");
             tell(nodes);
         }
-        Output::Standing { peer, standing } => {
+        Output::StatusChanged { peer, status: standing } => {
             let (name, address) = (peer.name.as_str(), peer.address);
             match standing {
-                Standing::Present => info!(target: "peers", name, %address, "a peer is present"),
-                Standing::Suspected => info!(target: "peers", name, %address, "a peer is suspected"),
-                Standing::Left => info!(target: "peers", name, %address, "a peer has left"),
-                Standing::Lost => warn!(target: "peers", name, %address, "a peer is lost"),
+                PeerStatus::Present => info!(target: "peers", name, %address, "a peer is present"),
+                PeerStatus::Suspected => info!(target: "peers", name, %address, "a peer is suspected"),
+                PeerStatus::Left => info!(target: "peers", name, %address, "a peer has left"),
+                PeerStatus::Lost => warn!(target: "peers", name, %address, "a peer is lost"),
             }
         }
-        Output::Agreement(agreement) => {
+        Output::AgreementChanged(agreement) => {
             let nodes = peering.peers.view(peering.now()).nodes;
             match agreement {
                 Agreement::Agreed => info!(target: "peers", nodes, "views agree"),
@@ -174,11 +181,11 @@
                 }
             }
         }
-        Output::NameClaimed { by, yields } => {
+        Output::NameConflict { other: by, yields } => {
             let address = by.address;
             error!(target: "peers", %address, yields, "another process claims this node's name");
         }
-        Output::CameBack => warn!(target: "peers", "others took this node for gone; it is back"),
+        Output::Rejoined => warn!(target: "peers", "others took this node for gone; it is back"),
         Output::Dissemination(output) => hear_publisher(&output),
         Output::Send { .. } => {}
     }
--- a/src/peers/budget.rs
+++ b/src/peers/budget.rs
@@ -59,13 +59,13 @@
     }
 
     /// Takes `bytes` out for what has to be sent in any case. The bucket may go into debt.
-    pub fn take(&mut self, now: Micros, bytes: usize) {
+    pub fn charge(&mut self, now: Micros, bytes: usize) {
         self.refill(now);
         self.tokens = self.tokens.saturating_sub(microbytes(bytes));
     }
 
     /// How long until the class may send `bytes`, in microseconds; none where the bucket is too shallow for that.
-    pub fn wait(&mut self, now: Micros, class: TrafficClass, bytes: usize) -> Option<Micros> {
+    pub fn time_until_available(&mut self, now: Micros, class: TrafficClass, bytes: usize) -> Option<Micros> {
         self.refill(now);
         let needed = self.reserve(class).saturating_add(microbytes(bytes));
         if needed > self.depth {
--- a/src/peers/budget/tests.rs
+++ b/src/peers/budget/tests.rs
@@ -29,9 +29,9 @@
 #[test]
 fn the_wait_that_is_told_is_the_wait_that_is_needed() {
     let mut budget = ByteBudget::new(1_000, 2_000, 0);
-    budget.take(0, 2_500);
-    let wait = budget.wait(0, TrafficClass::Log, 300).expect("deep enough");
+    budget.charge(0, 2_500);
+    let wait = budget.time_until_available(0, TrafficClass::Log, 300).expect("deep enough");
     assert!(!budget.try_take(wait - 1, TrafficClass::Log, 300));
     assert!(budget.try_take(wait, TrafficClass::Log, 300));
-    assert_eq!(budget.wait(wait, TrafficClass::Repair, 1_300), None);
+    assert_eq!(budget.time_until_available(wait, TrafficClass::Repair, 1_300), None);
 }
--- a/src/peers/dissemination/sending.rs
+++ b/src/peers/dissemination/sending.rs
@@ -241,7 +241,8 @@
         let room = self.config.largest_datagram - HEADER;
         let far = self.overlay.at(to).is_some_and(|child| !child.shares_region(&self.me));
         // What is sent twice is paid as what is sent again: not from what entries on their first way need.
-        let spare = |entry: &&Entry| budget.wait(now, TrafficClass::Repair, entry.size()) == Some(0);
+        let spare =
+            |entry: &&Entry| budget.time_until_available(now, TrafficClass::Repair, entry.size()) == Some(0);
         let repeated = waiting.front().filter(|_| far).and_then(|&first| log.recent_before(now, first));
         let repeated = repeated.filter(spare);
         let (mut taken, mut size, mut entries) = (0, 0, Vec::new());
@@ -343,7 +344,7 @@
         }
         let cost = data.len() + self.config.overhead;
         if !budget.try_take(now, class, cost) {
-            let wait = budget.wait(now, class, cost).unwrap_or(LEAST_RETRY);
+            let wait = budget.time_until_available(now, class, cost).unwrap_or(LEAST_RETRY);
             self.outbox.retry(now + wait.max(LEAST_RETRY));
             return false;
         }
--- a/src/peers/dissemination/tests/pressure.rs
+++ b/src/peers/dissemination/tests/pressure.rs
@@ -87,7 +87,7 @@
         pair.publish(vec![1; 300]).unwrap();
         // Spent down to some tokens of a bucket of 4,096 bytes.
         let mut budget = ByteBudget::new(1, 4_096, pair.now);
-        budget.take(pair.now, 4_096 - tokens);
+        budget.charge(pair.now, 4_096 - tokens);
         pair.budgets[0] = budget;
         pair.publish(vec![2; 20]).unwrap();
         assert_eq!(pair.delivered(), expected, "{tokens} bytes are left");
--- a/src/peers/envelope.rs
+++ b/src/peers/envelope.rs
@@ -12,7 +12,7 @@
 /// From this version on a peer reads extensions, and datagrams without an engine payload.
 pub(super) const EXTENSIONS_SINCE: u16 = 2;
 /// Datagrams are no longer than this: what passes any path of the Internet protocol's, version 6, in one piece.
-pub const LARGEST: usize = 1_232;
+pub const MAX_DATAGRAM_BYTES: usize = 1_232;
 /// Of that, the envelope's own.
 pub(super) const OVERHEAD: usize = 96;
 
@@ -36,7 +36,7 @@
 impl<'a> Envelope<'a> {
     /// The bytes of a datagram; none where they are too many to be sent.
     pub fn encode(&self) -> Option<Vec<u8>> {
-        postcard::to_stdvec(self).ok().filter(|data| data.len() <= LARGEST)
+        postcard::to_stdvec(self).ok().filter(|data| data.len() <= MAX_DATAGRAM_BYTES)
     }
 
     /// Reads a datagram. What stands behind the envelope is a later version's.
@@ -68,7 +68,7 @@
 
 impl From<&Peer> for LifeId {
     fn from(peer: &Peer) -> Self {
-        Self { address: peer.address, order: peer.order, salt: peer.salt }
+        Self { address: peer.address, order: peer.generation, salt: peer.salt }
     }
 }
 
--- a/src/peers/identity.rs
+++ b/src/peers/identity.rs
@@ -40,7 +40,8 @@
     pub address: SocketAddr,
     /// Microseconds of Unix time at its start, raised by an hour each time it was declared gone and came back. Compared
     /// with other lives of one name or address alone, never with a clock.
-    pub order: u64,
+    #[serde(rename = "order")]
+    pub generation: u64,
     /// A random part: no two lives share it.
     pub salt: u32,
     /// Looks on only: counted by nobody.
@@ -48,23 +49,24 @@
     /// Its name.
     pub name: String,
     /// Its [`Location`], and what later versions add; carried as it is.
-    pub more: Vec<u8>,
+    #[serde(rename = "more")]
+    pub metadata: Vec<u8>,
 }
 
 impl Peer {
     /// Whether this life goes before that one.
-    pub fn before(&self, other: &Self) -> bool {
-        (self.order, self.salt) > (other.order, other.salt)
+    pub fn supersedes(&self, other: &Self) -> bool {
+        (self.generation, self.salt) > (other.generation, other.salt)
     }
 
     /// Whether the same process had this identity before it took the other one.
     pub fn is_earlier_identity_of(&self, other: &Self) -> bool {
-        self.order < other.order && Self { order: other.order, ..self.clone() } == *other
+        self.generation < other.generation && Self { generation: other.generation, ..self.clone() } == *other
     }
 
     /// Where it runs, as far as it told.
     pub fn location(&self) -> Location {
-        match postcard::take_from_bytes::<(u8, Location)>(&self.more) {
+        match postcard::take_from_bytes::<(u8, Location)>(&self.metadata) {
             Ok(((LOCATION, location), _)) => location,
             _ => Location::default(),
         }
@@ -75,7 +77,7 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Self { order: self.order.saturating_add(RENEWED), ..self.clone() })
+        Some(Self { generation: self.generation.saturating_add(RENEWED), ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -83,7 +85,7 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        self.before(adversary)
+        self.supersedes(adversary)
     }
 }
 
--- a/src/peers/identity/tests.rs
+++ b/src/peers/identity/tests.rs
@@ -2,7 +2,7 @@
 
 fn peer(more: Vec<u8>) -> Peer {
     let address = "10.0.0.1:7946".parse().unwrap();
-    Peer { address, order: 1, salt: 1, observer: false, name: "n".into(), more }
+    Peer { address, generation: 1, salt: 1, observer: false, name: "n".into(), metadata: more }
 }
 
 #[test]
--- a/src/peers/joined.rs
+++ b/src/peers/joined.rs
@@ -4,7 +4,7 @@
 use super::dissemination::overlay::mix;
 use super::dissemination::{hash_name, Dissemination, DisseminationConfig, DisseminationOutput, Member};
 use super::identity::Peer;
-use super::membership::Standing;
+use super::membership::PeerStatus;
 use super::{ByteBudget, Micros, Output};
 use std::net::SocketAddr;
 
@@ -39,14 +39,14 @@
         replaced.iter().for_each(|peer| self.present(peer));
         for output in told {
             match output {
-                Output::Send { data, .. } => self.budget.take(now, data.len()),
-                Output::Standing { peer, standing } => match standing {
-                    Standing::Present => self.present(peer),
-                    Standing::Suspected if !peer.observer => self.core.member_suspected(member(peer)),
-                    Standing::Suspected => {}
-                    Standing::Left | Standing::Lost => self.core.member_gone(&member(peer)),
+                Output::Send { data, .. } => self.budget.charge(now, data.len()),
+                Output::StatusChanged { peer, status: standing } => match standing {
+                    PeerStatus::Present => self.present(peer),
+                    PeerStatus::Suspected if !peer.observer => self.core.member_suspected(member(peer)),
+                    PeerStatus::Suspected => {}
+                    PeerStatus::Left | PeerStatus::Lost => self.core.member_gone(&member(peer)),
                 },
-                Output::CameBack => self.core.renewed(member(me)),
+                Output::Rejoined => self.core.renewed(member(me)),
                 _ => {}
             }
         }
@@ -74,7 +74,7 @@
 /// A peer as dissemination knows it.
 pub(super) fn member(peer: &Peer) -> Member {
     let location = peer.location();
-    let id = mix(peer.order ^ mix(u64::from(peer.salt) ^ hash_name(&peer.name)));
+    let id = mix(peer.generation ^ mix(u64::from(peer.salt) ^ hash_name(&peer.name)));
     Member::new(id, &peer.name, peer.address, &location.region, &location.zone, &location.site)
 }
 
--- a/src/peers/joined/tests.rs
+++ b/src/peers/joined/tests.rs
@@ -25,11 +25,11 @@
         let config = PeersConfig { seeds: vec![address(0)], dissemination, ..PeersConfig::default() };
         let peer = |node: usize| Peer {
             address: address(node),
-            order: 1,
+            generation: 1,
             salt: node as u32,
             observer: false,
             name: format!("n{node}"),
-            more: Location { region: format!("r{}", node % 2), ..Location::default() }.encode(),
+            metadata: Location { region: format!("r{}", node % 2), ..Location::default() }.encode(),
         };
         let peers = (0..nodes).map(|node| Peers::new(config.clone(), peer(node), node as u64, 0)).collect();
         Self { now: 0, peers, told: Vec::new(), datagrams: VecDeque::new() }
@@ -41,13 +41,13 @@
             self.now += STEP;
             for node in 0..self.peers.len() {
                 let mut out = Vec::new();
-                self.peers[node].timers(self.now, &mut out);
+                self.peers[node].handle_timers(self.now, &mut out);
                 self.carry_out(node, out);
             }
             while let Some((to, data)) = self.datagrams.pop_front() {
                 let Some(node) = (0..self.peers.len()).find(|&node| address(node) == to) else { continue };
                 let mut out = Vec::new();
-                self.peers[node].datagram(self.now, &data, &mut out);
+                self.peers[node].handle_datagram(self.now, &data, &mut out);
                 self.carry_out(node, out);
             }
         }
--- a/src/peers/membership/admission.rs
+++ b/src/peers/membership/admission.rs
@@ -9,15 +9,17 @@
 
 /// Datagrams that were dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Dropped {
+pub struct DroppedDatagrams {
     /// Of another cluster.
     pub foreign: u64,
     /// That cannot be read, or that nobody would send.
     pub malformed: u64,
     /// Over the bound on what is read.
-    pub flood: u64,
+    #[serde(rename = "flood")]
+    pub rate_limited: u64,
     /// Of peers over the bound on how many are held.
-    pub crowd: u64,
+    #[serde(rename = "crowd")]
+    pub too_many_peers: u64,
 }
 
 /// Why a datagram is dropped.
@@ -34,12 +36,12 @@
     /// Datagrams that may still be read.
     tokens: f64,
     refilled_at: Micros,
-    dropped: Dropped,
+    dropped: DroppedDatagrams,
 }
 
 impl Admission {
     pub fn new(now: Micros) -> Self {
-        Self { tokens: DATAGRAMS_PER_SECOND, refilled_at: now, dropped: Dropped::default() }
+        Self { tokens: DATAGRAMS_PER_SECOND, refilled_at: now, dropped: DroppedDatagrams::default() }
     }
 
     /// Whether one more may be read. One that may not is counted.
@@ -59,13 +61,13 @@
         let count = match reason {
             DropReason::Foreign => &mut self.dropped.foreign,
             DropReason::Malformed => &mut self.dropped.malformed,
-            DropReason::Flood => &mut self.dropped.flood,
-            DropReason::Crowd => &mut self.dropped.crowd,
+            DropReason::Flood => &mut self.dropped.rate_limited,
+            DropReason::Crowd => &mut self.dropped.too_many_peers,
         };
         *count += 1;
     }
 
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DroppedDatagrams {
         self.dropped
     }
 }
--- a/src/peers/membership/admission/tests.rs
+++ b/src/peers/membership/admission/tests.rs
@@ -4,9 +4,9 @@
 fn a_flood_is_cut_off_and_the_rate_comes_back() {
     let mut admission = Admission::new(0);
     let admitted = (0..10_000).filter(|_| admission.admit(0)).count();
-    assert_eq!((admitted, admission.dropped().flood), (4_000, 6_000));
+    assert_eq!((admitted, admission.dropped().rate_limited), (4_000, 6_000));
     let admitted = (0..10_000).filter(|_| admission.admit(500_000)).count();
-    assert_eq!((admitted, admission.dropped().flood), (2_000, 14_000));
+    assert_eq!((admitted, admission.dropped().rate_limited), (2_000, 14_000));
 }
 
 #[test]
@@ -16,5 +16,8 @@
     admission.drop(DropReason::Malformed);
     admission.drop(DropReason::Malformed);
     admission.drop(DropReason::Crowd);
-    assert_eq!(admission.dropped(), Dropped { foreign: 1, malformed: 2, flood: 0, crowd: 1 });
+    assert_eq!(
+        admission.dropped(),
+        DroppedDatagrams { foreign: 1, malformed: 2, rate_limited: 0, too_many_peers: 1 }
+    );
 }
--- a/src/peers/membership/applying.rs
+++ b/src/peers/membership/applying.rs
@@ -4,7 +4,7 @@
 
 use super::engine::{EngineEffects, MemberChange};
 use super::timers::TimerEvent;
-use super::{digest, micros, names, Membership, Standing};
+use super::{digest, micros, names, Membership, PeerStatus};
 use crate::peers::identity::Peer;
 use crate::peers::{Micros, Output};
 
@@ -18,7 +18,7 @@
 
     /// A probe was not answered in time and goes by way of relays: the next one begins when their answers had their time.
     fn extend_probe_by_relays(&mut self, now: Micros) {
-        let least = micros(self.config.probe_every.saturating_sub(self.config.probe_timeout));
+        let least = micros(self.config.probe_interval.saturating_sub(self.config.probe_timeout));
         self.next_probe_at = now + self.round_trips.relay_timeout(least);
     }
 
@@ -44,7 +44,7 @@
         if effects.rejoined {
             let before = std::mem::replace(&mut self.me, self.engine.identity().clone());
             self.members.set_own(Some(&before), &self.me);
-            out.push(Output::CameBack);
+            out.push(Output::Rejoined);
         }
         self.changes.add(now, effects.changes.len());
         let mut arrived = Vec::new();
@@ -57,13 +57,13 @@
                 }
                 MemberChange::Down(peer) => {
                     let standing = match self.farewells.has(&peer) {
-                        true => Standing::Left,
-                        false => Standing::Lost,
+                        true => PeerStatus::Left,
+                        false => PeerStatus::Lost,
                     };
                     self.set_standing(now, peer, standing, out);
                 }
                 MemberChange::Up(peer) => {
-                    self.set_standing(now, peer.clone(), Standing::Present, out);
+                    self.set_standing(now, peer.clone(), PeerStatus::Present, out);
                     arrived.push(peer);
                 }
             }
@@ -92,14 +92,14 @@
         &mut self,
         now: Micros,
         peer: Peer,
-        standing: Standing,
+        standing: PeerStatus,
         out: &mut Vec<Output>,
     ) {
         if standing.is_gone() {
             self.agreement.forget(&peer.address);
         }
         if self.members.set(now, &peer, standing) {
-            out.push(Output::Standing { peer, standing });
+            out.push(Output::StatusChanged { peer, status: standing });
         }
     }
 
@@ -109,7 +109,7 @@
         }
         let Some(conflict) = names::find_conflict(&self.me, arrived.iter()) else { return };
         let yields = conflict.yields;
-        out.push(Output::NameClaimed { by: conflict.by, yields });
+        out.push(Output::NameConflict { other: conflict.by, yields });
         if yields {
             self.leave(now, out);
         }
--- a/src/peers/membership/count.rs
+++ b/src/peers/membership/count.rs
@@ -9,25 +9,29 @@
 
 /// When fewer nodes may be believed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CountRules {
+pub struct NodeCountRules {
     /// The view has been agreed, with no more nodes in it, for so long.
-    pub hold: Duration,
+    pub decrease_delay: Duration,
     /// For so long the largest agreed count is remembered.
-    pub memory: Duration,
+    pub peak_window: Duration,
     /// The count in force stays at this part of it at the least.
-    pub floor: f64,
+    pub min_fraction: f64,
 }
 
-impl Default for CountRules {
+impl Default for NodeCountRules {
     fn default() -> Self {
-        Self { hold: Duration::from_secs(10), memory: Duration::from_secs(300), floor: 0.5 }
+        Self {
+            decrease_delay: Duration::from_secs(10),
+            peak_window: Duration::from_secs(300),
+            min_fraction: 0.5,
+        }
     }
 }
 
 /// The count in force. More nodes count at once, fewer late and within bounds.
 #[derive(Clone, Debug)]
-pub struct Count {
-    rules: CountRules,
+pub struct EffectiveNodeCount {
+    rules: NodeCountRules,
     in_force: u32,
     /// Counts that were in force, and until when each is remembered; the last one stands.
     largest: VecDeque<(Micros, u32)>,
@@ -35,14 +39,14 @@
     fewer: Option<(Micros, u32)>,
 }
 
-impl Count {
+impl EffectiveNodeCount {
     /// Begins with the configured number, as if it had been agreed.
-    pub fn new(rules: CountRules, configured: u32) -> Self {
+    pub fn new(rules: NodeCountRules, configured: u32) -> Self {
         Self { rules, in_force: configured.max(1), largest: VecDeque::new(), fewer: None }
     }
 
     /// The count in force.
-    pub fn in_force(&self) -> u32 {
+    pub fn get(&self) -> u32 {
         self.in_force
     }
 
@@ -52,18 +56,18 @@
             self.largest.pop_front();
         }
         let largest = self.largest.iter().map(|(_, count)| *count).max().unwrap_or(0).max(self.in_force);
-        (f64::from(largest) * self.rules.floor).ceil() as u32
+        (f64::from(largest) * self.rules.min_fraction).ceil() as u32
     }
 
     fn set(&mut self, now: Micros, count: u32) {
-        let memory = u64::try_from(self.rules.memory.as_micros()).unwrap_or(u64::MAX);
+        let memory = u64::try_from(self.rules.peak_window.as_micros()).unwrap_or(u64::MAX);
         self.largest.push_back((now.saturating_add(memory), self.in_force));
         self.in_force = count;
     }
 
     /// What the node sees now: so many nodes, itself among them, and whether that is agreed. Whether the count in force
     /// has changed.
-    pub fn sees(&mut self, now: Micros, seen: u32, agreed: bool) -> bool {
+    pub fn observe(&mut self, now: Micros, seen: u32, agreed: bool) -> bool {
         let seen = seen.max(1);
         if seen >= self.in_force {
             self.fewer = None;
@@ -80,7 +84,7 @@
         // The most that was seen since the view was agreed.
         let (since, most) = self.fewer.map_or((now, seen), |(since, most)| (since, most.max(seen)));
         self.fewer = Some((since, most));
-        let hold = u64::try_from(self.rules.hold.as_micros()).unwrap_or(u64::MAX);
+        let hold = u64::try_from(self.rules.decrease_delay.as_micros()).unwrap_or(u64::MAX);
         if now < since.saturating_add(hold) {
             return false;
         }
--- a/src/peers/membership/digest.rs
+++ b/src/peers/membership/digest.rs
@@ -15,7 +15,7 @@
 /// A hash of one life of a peer, the same at every node and in every build. The digest of a view is the sum, without
 /// regard to order, of these for each life of a node in it.
 pub(super) fn life_hash(peer: &Peer) -> u64 {
-    life_hash_of(peer.address, peer.order, peer.salt)
+    life_hash_of(peer.address, peer.generation, peer.salt)
 }
 
 /// See [`life_hash`].
@@ -64,7 +64,7 @@
 impl LifeTag {
     pub fn of(peer: &Peer) -> Self {
         let [a, b, c, ..] = mix(address_bits(peer.address)).to_le_bytes();
-        let [.., o, p, q] = (peer.order >> ORDER_UNIT_BITS).to_be_bytes();
+        let [.., o, p, q] = (peer.generation >> ORDER_UNIT_BITS).to_be_bytes();
         let [.., x, y] = life_hash(peer).to_le_bytes();
         Self { address: [a, b, c], order: [o, p, q], check: [x, y] }
     }
--- a/src/peers/membership/digest/tests.rs
+++ b/src/peers/membership/digest/tests.rs
@@ -56,11 +56,11 @@
 fn tags_tell_lives_of_one_address_and_the_later_of_them() {
     let peer = |host, order| Peer {
         address: address(host),
-        order,
+        generation: order,
         salt: 1,
         observer: false,
         name: String::new(),
-        more: Vec::new(),
+        metadata: Vec::new(),
     };
     let now = 1_700_000_000_000_000;
     let (one, later) = (LifeTag::of(&peer(1, now)), LifeTag::of(&peer(1, now + 60_000_000)));
--- a/src/peers/membership/farewells.rs
+++ b/src/peers/membership/farewells.rs
@@ -43,7 +43,11 @@
 impl Farewells {
     /// Whether this life of a peer said farewell.
     pub fn has(&self, peer: &Peer) -> bool {
-        self.0.borrow().latest.iter().any(|said| said.address == peer.address && said.order >= peer.order)
+        self.0
+            .borrow()
+            .latest
+            .iter()
+            .any(|said| said.address == peer.address && said.order >= peer.generation)
     }
 
     /// How many there were: with another number, others are known.
--- a/src/peers/membership/inbound.rs
+++ b/src/peers/membership/inbound.rs
@@ -83,7 +83,7 @@
         let held = table.get(&peer.address);
         return held.is_none_or(|held| match held.peer == *peer {
             true => !held.standing.is_gone(),
-            false => peer.before(&held.peer),
+            false => peer.supersedes(&held.peer),
         });
     }
     let suspected = update.state() == State::Suspect;
--- a/src/peers/membership/inbound/tests.rs
+++ b/src/peers/membership/inbound/tests.rs
@@ -1,10 +1,17 @@
 use super::*;
-use crate::peers::membership::view::Standing;
+use crate::peers::membership::view::PeerStatus;
 use std::net::SocketAddr;
 
 fn peer(host: u8, order: u64) -> Peer {
     let address = SocketAddr::from(([10, 0, 0, host], 7_946));
-    Peer { address, order, salt: 1, observer: false, name: format!("n{host}"), more: Vec::new() }
+    Peer {
+        address,
+        generation: order,
+        salt: 1,
+        observer: false,
+        name: format!("n{host}"),
+        metadata: Vec::new(),
+    }
 }
 
 fn message(message: Message<Peer>, updates: &[MemberUpdate], tail: &[u8]) -> Vec<u8> {
@@ -50,8 +57,8 @@
 #[test]
 fn the_engine_is_spared_what_it_knows() {
     let mut table = MemberTable::new();
-    table.set(1, &peer(1, 5), Standing::Present);
-    table.set(1, &peer(2, 5), Standing::Lost);
+    table.set(1, &peer(1, 5), PeerStatus::Present);
+    table.set(1, &peer(2, 5), PeerStatus::Lost);
     let down = |host, order| Member::down(peer(host, order));
     for (update, news) in [
         (Member::alive(peer(1, 5)), false),
--- a/src/peers/membership/members.rs
+++ b/src/peers/membership/members.rs
@@ -5,7 +5,7 @@
 use std::ops::Range;
 
 use super::digest::{life_hash, part_of, LifeTag, ViewDigest};
-use super::view::{Seen, Standing};
+use super::view::{PeerRecord, PeerStatus};
 use crate::peers::identity::Peer;
 use crate::peers::Micros;
 
@@ -16,7 +16,7 @@
     /// The hash of this life of it.
     pub life: u64,
     pub tag: LifeTag,
-    pub standing: Standing,
+    pub standing: PeerStatus,
     /// When it came to stand so.
     pub since: Micros,
     /// The version of the envelope that it sent last; 0 until it is heard.
@@ -49,12 +49,12 @@
 }
 
 impl StandingCounts {
-    fn of(&mut self, standing: Standing) -> &mut usize {
+    fn of(&mut self, standing: PeerStatus) -> &mut usize {
         match standing {
-            Standing::Present => &mut self.present,
-            Standing::Suspected => &mut self.suspected,
-            Standing::Left => &mut self.left,
-            Standing::Lost => &mut self.lost,
+            PeerStatus::Present => &mut self.present,
+            PeerStatus::Suspected => &mut self.suspected,
+            PeerStatus::Left => &mut self.left,
+            PeerStatus::Lost => &mut self.lost,
         }
     }
 }
@@ -127,7 +127,7 @@
     pub fn hear_word(&mut self, peer: &Peer, word: Word) -> bool {
         let Some(member) = self.members.get_mut(&key(&peer.address)) else { return true };
         if member.peer != *peer {
-            return peer.before(&member.peer);
+            return peer.supersedes(&member.peer);
         }
         let news = word > member.word && !member.standing.is_gone();
         if news {
@@ -137,14 +137,14 @@
     }
 
     /// Sets how a peer stands; whether that is another standing than before.
-    pub fn set(&mut self, now: Micros, peer: &Peer, standing: Standing) -> bool {
+    pub fn set(&mut self, now: Micros, peer: &Peer, standing: PeerStatus) -> bool {
         let before = self.take(&peer.address);
         let same = before.as_ref().filter(|before| before.peer == *peer);
         let is_news = same.is_none_or(|before| before.standing != standing);
         // A restart may be another version, and has its own incarnations.
         let (schema, word) = same.map_or((0, Word::default()), |before| (before.schema, before.word));
         // An observer that goes is nobody's loss.
-        if !(peer.observer && standing != Standing::Present) {
+        if !(peer.observer && standing != PeerStatus::Present) {
             let (peer, life, tag) = (peer.clone(), life_hash(peer), LifeTag::of(peer));
             self.put(Member { peer, life, tag, standing, since: now, schema, word });
         }
@@ -152,13 +152,13 @@
     }
 
     /// All of them by name, as a view tells them.
-    pub fn seen(&self, now: Micros) -> Vec<Seen> {
+    pub fn seen(&self, now: Micros) -> Vec<PeerRecord> {
         let mut members: Vec<_> = self.members.values().collect();
         members.sort_by(|a, b| (&a.peer.name, a.peer.address).cmp(&(&b.peer.name, b.peer.address)));
-        let seen = members.into_iter().map(|member| Seen {
+        let seen = members.into_iter().map(|member| PeerRecord {
             peer: member.peer.clone(),
-            standing: member.standing,
-            since: now.saturating_sub(member.since),
+            status: member.standing,
+            status_age_us: now.saturating_sub(member.since),
         });
         seen.collect()
     }
--- a/src/peers/membership/members/tests.rs
+++ b/src/peers/membership/members/tests.rs
@@ -3,7 +3,14 @@
 
 fn peer(host: u8, order: u64) -> Peer {
     let address = SocketAddr::from(([10, 0, 0, host], 7_946));
-    Peer { address, order, salt: 1, observer: false, name: format!("n{host}"), more: Vec::new() }
+    Peer {
+        address,
+        generation: order,
+        salt: 1,
+        observer: false,
+        name: format!("n{host}"),
+        metadata: Vec::new(),
+    }
 }
 
 fn summed_anew(table: &MemberTable) -> u64 {
@@ -13,10 +20,10 @@
 #[test]
 fn a_standing_is_news_once_and_so_is_another_life() {
     let mut table = MemberTable::new();
-    assert!(table.set(1, &peer(1, 1), Standing::Present));
-    assert!(!table.set(2, &peer(1, 1), Standing::Present));
-    assert!(table.set(3, &peer(1, 2), Standing::Present));
-    assert!(table.set(4, &peer(1, 2), Standing::Lost));
+    assert!(table.set(1, &peer(1, 1), PeerStatus::Present));
+    assert!(!table.set(2, &peer(1, 1), PeerStatus::Present));
+    assert!(table.set(3, &peer(1, 2), PeerStatus::Present));
+    assert!(table.set(4, &peer(1, 2), PeerStatus::Lost));
     assert_eq!((table.len(), table.counts().lost), (1, 1));
 }
 
@@ -24,9 +31,9 @@
 fn an_observer_is_counted_by_nobody_and_gone_when_it_goes() {
     let mut table = MemberTable::new();
     let observer = Peer { observer: true, ..peer(1, 1) };
-    table.set(1, &observer, Standing::Present);
+    table.set(1, &observer, PeerStatus::Present);
     assert_eq!((table.len(), table.counts(), table.digest().whole()), (1, StandingCounts::default(), 0));
-    table.set(2, &observer, Standing::Lost);
+    table.set(2, &observer, PeerStatus::Lost);
     assert_eq!(table.len(), 0);
 }
 
@@ -34,7 +41,7 @@
 fn counts_and_digest_are_kept_up_with_every_change() {
     let mut random = fastrand::Rng::with_seed(1);
     let mut table = MemberTable::new();
-    let standings = [Standing::Present, Standing::Suspected, Standing::Left, Standing::Lost];
+    let standings = [PeerStatus::Present, PeerStatus::Suspected, PeerStatus::Left, PeerStatus::Lost];
     for step in 0..5_000 {
         let who = Peer { observer: random.u8(0..10) == 0, ..peer(random.u8(..), random.u64(0..4)) };
         match random.u8(0..4) {
@@ -58,7 +65,7 @@
     let mut table = MemberTable::new();
     let (it, word) = (peer(1, 5), |incarnation, suspected| Word { incarnation, suspected });
     assert!(table.hear_word(&it, word(0, false)), "of one that is unknown");
-    table.set(1, &it, Standing::Present);
+    table.set(1, &it, PeerStatus::Present);
     for (said, news) in [
         (word(0, false), false),
         (word(0, true), true),
@@ -72,6 +79,6 @@
     }
     assert!(!table.hear_word(&peer(1, 4), word(9, true)), "an older life");
     assert!(table.hear_word(&peer(1, 6), word(0, false)), "a later life");
-    table.set(2, &it, Standing::Lost);
+    table.set(2, &it, PeerStatus::Lost);
     assert!(!table.hear_word(&it, word(9, true)), "gone is gone");
 }
--- a/src/peers/membership/mod.rs
+++ b/src/peers/membership/mod.rs
@@ -26,12 +26,12 @@
 mod traffic;
 mod view;
 
-pub use admission::Dropped;
+pub use admission::DroppedDatagrams;
 pub use agreement::Agreement;
-pub use count::{Count, CountRules};
+pub use count::{EffectiveNodeCount, NodeCountRules};
 pub use settings::PeersConfig;
 pub use traffic::{Traffic, TrafficCount, TrafficKind, TRAFFIC_KINDS};
-pub use view::{Seen, Standing, View, ViewSummary};
+pub use view::{PeerRecord, PeerStatus, View, ViewSummary};
 
 use foca::Timer;
 use rand::rngs::SmallRng;
@@ -81,7 +81,7 @@
     incarnation: foca::Incarnation,
     joining: Joining,
     agreement: AgreementTracker,
-    count: Count,
+    count: EffectiveNodeCount,
     changes: ChangeRate,
     plan: GossipPlan,
     repair: Repair,
@@ -101,12 +101,12 @@
         let random = SmallRng::seed_from_u64(seed);
         let changes = ChangeRate::new(now);
         let plan = changes.plan(now);
-        let settings = config.engine(config.nodes as usize, 0, plan);
+        let settings = config.engine(config.configured_nodes as usize, 0, plan);
         let farewells = Farewells::default();
         let handler = farewells.clone();
         let engine =
             Engine::with_custom_broadcast(me.clone(), settings, random, foca::PostcardCodec, handler);
-        let memory = micros(config.count.memory);
+        let memory = micros(config.node_count.peak_window);
         let mut members = MemberTable::new();
         members.set_own(None, &me);
         let mut membership = Self {
@@ -122,7 +122,7 @@
             incarnation: 0,
             joining: Joining::new(config.seeds.clone()),
             agreement: AgreementTracker::new(now, memory),
-            count: Count::new(config.count, config.nodes),
+            count: EffectiveNodeCount::new(config.node_count, config.configured_nodes),
             changes,
             plan,
             repair: Repair::new(seed.rotate_left(32)),
@@ -239,7 +239,7 @@
         if self.left {
             return;
         }
-        let farewell = Farewell { address: self.me().address, order: self.me().order };
+        let farewell = Farewell { address: self.me().address, order: self.me().generation };
         let mut effects = EngineEffects::default();
         if let Ok(data) = postcard::to_stdvec(&farewell) {
             // Errors would be of its size alone, which is bounded.
@@ -256,7 +256,7 @@
     pub fn summary(&self) -> ViewSummary {
         ViewSummary {
             nodes: self.nodes(),
-            in_force: self.count.in_force(),
+            effective_nodes: self.count.get(),
             agreement: self.agreement.agreement(),
             digest: self.agreement.digest(),
         }
@@ -272,9 +272,9 @@
         View {
             peers: self.members.seen(now),
             nodes: self.nodes(),
-            in_force: self.count.in_force(),
+            effective_nodes: self.count.get(),
             agreement: self.agreement.agreement(),
-            since: self.agreement.lasts(now),
+            agreement_age_us: self.agreement.lasts(now),
             digest: self.agreement.digest(),
             differing: self.agreement.differing(now),
         }
@@ -286,7 +286,7 @@
         let me = self.me().address;
         let nodes = self.members.iter().filter(|member| !member.peer.observer);
         let acquaintance = |member: &Member| match member.standing {
-            Standing::Present => Acquaintance::Present,
+            PeerStatus::Present => Acquaintance::Present,
             _ => Acquaintance::Past,
         };
         let known: BTreeMap<_, _> = nodes.map(|member| (member.peer.address, acquaintance(member))).collect();
@@ -307,7 +307,7 @@
 
 /// Whoever is there, as an announcement names it.
 fn unknown_peer(address: SocketAddr) -> Peer {
-    Peer { address, order: 0, salt: 0, observer: false, name: String::new(), more: Vec::new() }
+    Peer { address, generation: 0, salt: 0, observer: false, name: String::new(), metadata: Vec::new() }
 }
 
 #[cfg(test)]
--- a/src/peers/membership/names.rs
+++ b/src/peers/membership/names.rs
@@ -18,6 +18,6 @@
         return None;
     }
     let by = members.find(|peer| !peer.observer && peer.name == me.name)?.clone();
-    let yields = by.before(me);
+    let yields = by.supersedes(me);
     Some(NameConflict { by, yields })
 }
--- a/src/peers/membership/pacing.rs
+++ b/src/peers/membership/pacing.rs
@@ -61,19 +61,19 @@
 
     /// What goes in any case.
     pub fn take(&mut self, now: Micros, bytes: usize) {
-        self.budget.take(now, bytes);
+        self.budget.charge(now, bytes);
     }
 
     /// Whether a message of the repair may go.
     pub fn try_take(&mut self, now: Micros, pace: Pace, bytes: usize) -> bool {
         let spare = if pace == Pace::Spare { SPARE_RESERVE } else { 0 };
-        let allowed = self.budget.wait(now, pace.class(), bytes + spare) == Some(0);
+        let allowed = self.budget.time_until_available(now, pace.class(), bytes + spare) == Some(0);
         allowed && self.budget.try_take(now, pace.class(), bytes)
     }
 
     /// Whether a message of the repair may go, however long.
     pub fn allows(&mut self, now: Micros, pace: Pace) -> bool {
-        self.budget.wait(now, pace.class(), MESSAGE_BYTES) == Some(0)
+        self.budget.time_until_available(now, pace.class(), MESSAGE_BYTES) == Some(0)
     }
 
     /// How long a round of gossip has to wait; none where it may go.
@@ -83,7 +83,7 @@
         }
         let message = (GOSSIP_BYTES + backlog * NEWS_BYTES).min(MESSAGE_BYTES);
         let (earliest, latest) = GOSSIP_WAITS;
-        match self.budget.wait(now, TrafficClass::Log, message * fan_out) {
+        match self.budget.time_until_available(now, TrafficClass::Log, message * fan_out) {
             Some(0) => None,
             Some(wait) => Some(wait.clamp(earliest, latest)),
             None => Some(latest),
@@ -93,8 +93,9 @@
     /// How many pieces of news may ride on a message that goes in any case.
     pub fn news_on_message(&mut self, now: Micros) -> usize {
         let levels = [(TrafficClass::Repair, usize::MAX), (TrafficClass::Configuration, FEW_NEWS)];
-        let allowed =
-            levels.iter().find(|(class, _)| self.budget.wait(now, *class, MESSAGE_BYTES) == Some(0));
+        let allowed = levels
+            .iter()
+            .find(|(class, _)| self.budget.time_until_available(now, *class, MESSAGE_BYTES) == Some(0));
         allowed.map_or(LEAST_NEWS, |(_, news)| *news)
     }
 
@@ -102,10 +103,10 @@
     /// and asks for what it lacks.
     pub fn members_in_feed(&mut self, now: Micros, repairs: bool, bytes: usize) -> Option<usize> {
         let whole = !repairs || bytes <= SHORT_LIST;
-        if whole && self.budget.wait(now, TrafficClass::Log, bytes) == Some(0) {
+        if whole && self.budget.time_until_available(now, TrafficClass::Log, bytes) == Some(0) {
             return Some(usize::MAX);
         }
-        let short = self.budget.wait(now, TrafficClass::Membership, FEW_MEMBERS_BYTES);
+        let short = self.budget.time_until_available(now, TrafficClass::Membership, FEW_MEMBERS_BYTES);
         (short == Some(0)).then_some(FEW_MEMBERS)
     }
 }
--- a/src/peers/membership/receiving.rs
+++ b/src/peers/membership/receiving.rs
@@ -46,7 +46,7 @@
         out: &mut Vec<Output>,
     ) -> Result<(), DropReason> {
         let source = &message.header.src;
-        let is_gone = |held: &Member| held.standing.is_gone() && !source.before(&held.peer);
+        let is_gone = |held: &Member| held.standing.is_gone() && !source.supersedes(&held.peer);
         let sender_is_gone = self.members.get(&source.address).is_some_and(is_gone);
         // The engine would not take them from one that it holds for gone, nor what was meant for another life.
         let accepted = message.header.dst == *self.me() && !sender_is_gone;
--- a/src/peers/membership/repair.rs
+++ b/src/peers/membership/repair.rs
@@ -20,7 +20,7 @@
 
 use super::digest::{part_of, LifeTag, Partition};
 use super::members::{Member, MemberTable};
-use super::view::Standing;
+use super::view::PeerStatus;
 use crate::peers::identity::Peer;
 use crate::peers::Micros;
 
@@ -316,7 +316,7 @@
                     LocalKnowledge::Held | LocalKnowledge::Superseded => {}
                     LocalKnowledge::Renewed(peer) => outcome.alive.push(Record { peer, incarnation: 0 }),
                     LocalKnowledge::Gone(member) => {
-                        let gone = if member.standing == Standing::Left { &mut left } else { &mut lost };
+                        let gone = if member.standing == PeerStatus::Left { &mut left } else { &mut lost };
                         if gone.len() < MOST_GONE {
                             gone.add(part.part, tag);
                         }
--- a/src/peers/membership/repair/tests.rs
+++ b/src/peers/membership/repair/tests.rs
@@ -14,11 +14,11 @@
     let order = 1_700_000_000_000_000 + (order << 30);
     Peer {
         address: address(host),
-        order,
+        generation: order,
         salt: 1,
         observer: false,
         name: format!("n{host}"),
-        more: Vec::new(),
+        metadata: Vec::new(),
     }
 }
 
@@ -36,7 +36,7 @@
         let mut members = MemberTable::new();
         members.set_own(None, &me);
         for other in others {
-            members.set(0, &other, Standing::Present);
+            members.set(0, &other, PeerStatus::Present);
         }
         Self { me, members, repair: Repair::new(u64::from(host)), bytes: 0 }
     }
@@ -47,18 +47,18 @@
 
     fn present(&self) -> BTreeSet<(SocketAddr, u64)> {
         let present = self.members.iter().filter(|member| member.is_counted());
-        let lives = present.map(|member| (member.peer.address, member.peer.order));
-        lives.chain([(self.me.address, self.me.order)]).collect()
+        let lives = present.map(|member| (member.peer.address, member.peer.generation));
+        lives.chain([(self.me.address, self.me.generation)]).collect()
     }
 
     fn receive(&mut self, now: Micros, message: RepairMessage) -> Vec<RepairMessage> {
         let view = LocalView { me: &self.me, members: &self.members, nodes: self.members.len() as u32 + 1 };
         let outcome = self.repair.receive(now, view, message);
         for record in outcome.alive {
-            self.members.set(now, &record.peer, Standing::Present);
+            self.members.set(now, &record.peer, PeerStatus::Present);
         }
         for (peer, left) in outcome.gone {
-            let standing = if left { Standing::Left } else { Standing::Lost };
+            let standing = if left { PeerStatus::Left } else { PeerStatus::Lost };
             self.members.set(now, &peer, standing);
         }
         for datagram in outcome.answers.iter().chain(&outcome.lists) {
@@ -95,7 +95,7 @@
 fn one_comparison_brings_a_few_differences_both_ways() {
     let mut one = Side::new(1, others(2..500));
     let mut two = Side::new(2, others(3..503).chain(others(1..2)));
-    one.members.set(0, &peer(77, 9), Standing::Present);
+    one.members.set(0, &peer(77, 9), PeerStatus::Present);
     compare(SECOND, &mut one, &mut two);
     assert_eq!(one.present(), two.present());
     assert_eq!(one.present().len(), 502);
@@ -114,15 +114,15 @@
 fn who_is_gone_is_told_with_whether_it_said_farewell() {
     let mut one = Side::new(1, others(2..100));
     let mut two = Side::new(2, others(3..100).chain(others(1..2)));
-    two.members.set(0, &peer(50, 1), Standing::Lost);
-    two.members.set(0, &peer(60, 1), Standing::Left);
+    two.members.set(0, &peer(50, 1), PeerStatus::Lost);
+    two.members.set(0, &peer(60, 1), PeerStatus::Left);
     compare(SECOND, &mut one, &mut two);
     let standing = |host| one.members.get(&address(host)).map(|member| member.standing);
-    assert_eq!((standing(50), standing(60)), (Some(Standing::Lost), Some(Standing::Left)));
+    assert_eq!((standing(50), standing(60)), (Some(PeerStatus::Lost), Some(PeerStatus::Left)));
     // The other way round, too.
-    one.members.set(0, &peer(70, 1), Standing::Lost);
+    one.members.set(0, &peer(70, 1), PeerStatus::Lost);
     compare(2 * SECOND, &mut one, &mut two);
-    assert_eq!(two.members.get(&address(70)).map(|member| member.standing), Some(Standing::Lost));
+    assert_eq!(two.members.get(&address(70)).map(|member| member.standing), Some(PeerStatus::Lost));
 }
 
 #[test]
@@ -131,7 +131,7 @@
     let mut one = Side::new(1, others(2..300));
     let mut two = Side::new(2, others(3..300).map(renewed).chain(others(1..2)));
     for host in 3..300 {
-        one.members.set(0, &peer(host, 1), Standing::Lost);
+        one.members.set(0, &peer(host, 1), PeerStatus::Lost);
     }
     for round in 0..20 {
         compare(round * SECOND, &mut one, &mut two);
@@ -159,7 +159,7 @@
     let mut one = Side::new(1, others(2..100));
     let mut two = Side::new(2, others(3..100).chain(others(1..2)));
     for host in 50..60 {
-        two.members.set(0, &peer(host, 5), Standing::Present);
+        two.members.set(0, &peer(host, 5), PeerStatus::Present);
     }
     let lives = LivesByPart {
         partition: Partition::for_nodes(0),
--- a/src/peers/membership/repairing.rs
+++ b/src/peers/membership/repairing.rs
@@ -10,7 +10,7 @@
 use super::repair::{LocalView, Record, RepairMessage, RepairOutcome};
 use super::suspicion::GoneReport;
 use super::traffic::TrafficKind;
-use super::{Membership, Standing};
+use super::{Membership, PeerStatus};
 use crate::peers::envelope::{Extension, EXTENSIONS_SINCE};
 use crate::peers::{Micros, Output};
 
@@ -65,11 +65,11 @@
         let mut asked = Vec::new();
         for (peer, left) in outcome.gone {
             if left {
-                self.farewells.remember(Farewell { address: peer.address, order: peer.order });
+                self.farewells.remember(Farewell { address: peer.address, order: peer.generation });
             }
             let own = peer.address == self.me().address;
             let held = self.members.get(&peer.address);
-            let suspected = held.is_some_and(|held| held.standing == Standing::Suspected);
+            let suspected = held.is_some_and(|held| held.standing == PeerStatus::Suspected);
             match self.gone_reports.report(now, &peer, suspected, round_trip) {
                 _ if left || own => updates.push(MemberUpdate::down(peer)),
                 GoneReport::Believe => updates.push(MemberUpdate::down(peer)),
--- a/src/peers/membership/reviewing.rs
+++ b/src/peers/membership/reviewing.rs
@@ -6,7 +6,7 @@
 use super::engine::EngineMessage;
 use super::members::Member;
 use super::traffic::TrafficKind;
-use super::{suspicion, Membership, Standing};
+use super::{suspicion, Membership, PeerStatus};
 use crate::peers::identity::Peer;
 use crate::peers::{Micros, Output};
 
@@ -37,11 +37,11 @@
         }
         let counts = self.members.counts();
         let members = MemberCounts { nodes: self.nodes(), suspected: counts.suspected, lost: counts.lost };
-        out.extend(self.agreement.review(now, &members).map(Output::Agreement));
+        out.extend(self.agreement.review(now, &members).map(Output::AgreementChanged));
         // Fewer may be believed once those that are left agree, whatever became of the others: the count's own rule keeps
         // what follows from it in bounds.
-        if self.count.sees(now, members.nodes, self.agreement.is_agreed()) {
-            out.push(Output::Count(self.count.in_force()));
+        if self.count.observe(now, members.nodes, self.agreement.is_agreed()) {
+            out.push(Output::EffectiveNodes(self.count.get()));
         }
     }
 
@@ -54,11 +54,11 @@
         for member in self.engine.iter_members() {
             let standing = self.members.get(&member.id().address).map(|held| held.standing);
             match (member.state(), standing) {
-                (State::Suspect, Some(Standing::Present)) => {
-                    changed.push((member.id().clone(), Standing::Suspected));
+                (State::Suspect, Some(PeerStatus::Present)) => {
+                    changed.push((member.id().clone(), PeerStatus::Suspected));
                 }
-                (State::Alive, Some(Standing::Suspected)) => {
-                    changed.push((member.id().clone(), Standing::Present));
+                (State::Alive, Some(PeerStatus::Suspected)) => {
+                    changed.push((member.id().clone(), PeerStatus::Present));
                 }
                 _ => {}
             }
@@ -90,13 +90,13 @@
     pub(super) fn tell_suspects(&mut self, now: Micros, out: &mut Vec<Output>) {
         let members = &self.members;
         if members.counts().suspected > 0 {
-            for held in members.iter().filter(|held| held.standing == Standing::Suspected) {
+            for held in members.iter().filter(|held| held.standing == PeerStatus::Suspected) {
                 self.own_suspicions.add_heard(now, &held.peer, held.word.incarnation, held.since);
             }
         }
         self.own_suspicions.retain(|peer| {
             let held = members.get(&peer.address).filter(|held| held.peer == *peer);
-            held.is_some_and(|held| held.standing == Standing::Suspected)
+            held.is_some_and(|held| held.standing == PeerStatus::Suspected)
         });
         let notices = self.own_suspicions.notices(now, self.engine.identity(), self.incarnation);
         let messages = notices
@@ -112,10 +112,10 @@
             return;
         }
         let said_farewell =
-            |held: &&Member| held.standing == Standing::Lost && self.farewells.has(&held.peer);
+            |held: &&Member| held.standing == PeerStatus::Lost && self.farewells.has(&held.peer);
         let left: Vec<_> = self.members.iter().filter(said_farewell).map(|held| held.peer.clone()).collect();
         for peer in left {
-            self.set_standing(now, peer, Standing::Left, out);
+            self.set_standing(now, peer, PeerStatus::Left, out);
         }
     }
 }
--- a/src/peers/membership/settings.rs
+++ b/src/peers/membership/settings.rs
@@ -4,7 +4,7 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-use super::count::CountRules;
+use super::count::NodeCountRules;
 use super::gossip::GossipPlan;
 use crate::peers::dissemination::DisseminationConfig;
 use crate::peers::envelope;
@@ -18,7 +18,7 @@
 /// by five of them (a tenth of the direct probes, and a fifth of the ways by way of each), once in 1,600 by three.
 const INDIRECT_PROBES: usize = 5;
 /// The largest message of the engine.
-pub(super) const LARGEST_PAYLOAD: usize = envelope::LARGEST - envelope::OVERHEAD;
+pub(super) const LARGEST_PAYLOAD: usize = envelope::MAX_DATAGRAM_BYTES - envelope::OVERHEAD;
 
 /// How a peer takes part.
 #[derive(Clone, Debug, PartialEq)]
@@ -28,15 +28,15 @@
     /// Where others may be found; any of them may be down.
     pub seeds: Vec<SocketAddr>,
     /// Each peer probes another one this often.
-    pub probe_every: Duration,
+    pub probe_interval: Duration,
     /// An answer that takes longer is asked for by way of others; at the most half of `probe_every`.
     pub probe_timeout: Duration,
     /// Suspects have this many times `probe_every`, and more the more peers there are, to speak up.
-    pub suspicion: f64,
+    pub suspicion_multiplier: f64,
     /// When fewer nodes may be believed.
-    pub count: CountRules,
+    pub node_count: NodeCountRules,
     /// The configured number of nodes.
-    pub nodes: u32,
+    pub configured_nodes: u32,
     /// How it takes part in dissemination; none: it does not.
     pub dissemination: Option<DisseminationConfig>,
 }
@@ -46,11 +46,11 @@
         Self {
             cluster: "walkpick".to_owned(),
             seeds: Vec::new(),
-            probe_every: Duration::from_millis(400),
+            probe_interval: Duration::from_millis(400),
             probe_timeout: Duration::from_millis(180),
-            suspicion: 3.0,
-            count: CountRules::default(),
-            nodes: 1,
+            suspicion_multiplier: 3.0,
+            node_count: NodeCountRules::default(),
+            configured_nodes: 1,
             dissemination: None,
         }
     }
@@ -63,9 +63,9 @@
         let rounds = (peers.max(2) as f64).log10().max(1.0);
         let many = suspects as f64 > MANY_SUSPECTS * peers as f64;
         let patience = if many { MANY_SUSPECTS_PATIENCE } else { 1.0 };
-        let suspect_for = self.probe_every.mul_f64(self.suspicion * rounds * patience);
+        let suspect_for = self.probe_interval.mul_f64(self.suspicion_multiplier * rounds * patience);
         foca::Config {
-            probe_period: self.probe_every,
+            probe_period: self.probe_interval,
             probe_rtt: self.probe_timeout,
             num_indirect_probes: number(INDIRECT_PROBES),
             max_transmissions: NonZeroU8::new(gossip.copies).unwrap_or(NonZeroU8::MIN),
@@ -77,7 +77,7 @@
             periodic_announce: None,
             // What was cut off is looked for.
             periodic_announce_to_down_members: periodic(Duration::from_secs(2), 3),
-            periodic_gossip: periodic(self.probe_every / 2, gossip.fan_out),
+            periodic_gossip: periodic(self.probe_interval / 2, gossip.fan_out),
         }
     }
 }
--- a/src/peers/membership/suspicion/tests.rs
+++ b/src/peers/membership/suspicion/tests.rs
@@ -3,7 +3,7 @@
 
 fn peer(host: u8) -> Peer {
     let address = SocketAddr::from(([10, 0, 0, host], 7_946));
-    Peer { address, order: 1, salt: 1, observer: false, name: format!("n{host}"), more: Vec::new() }
+    Peer { address, generation: 1, salt: 1, observer: false, name: format!("n{host}"), metadata: Vec::new() }
 }
 
 fn told(suspicions: &mut OwnSuspicions, now: Micros) -> Vec<SocketAddr> {
@@ -43,7 +43,7 @@
     reports.asked(ASK_AGAIN_AFTER, &peer(2));
     assert_eq!(reports.report(ANSWER_WITHIN - 1, &peer(2), false, 0), GoneReport::Wait);
     assert_eq!(reports.report(ANSWER_WITHIN, &peer(2), false, 0), GoneReport::Believe);
-    let later = Peer { order: 2, ..peer(2) };
+    let later = Peer { generation: 2, ..peer(2) };
     assert_eq!(
         reports.report(ANSWER_WITHIN, &later, false, 0),
         GoneReport::Ask,
--- a/src/peers/membership/tests.rs
+++ b/src/peers/membership/tests.rs
@@ -8,8 +8,8 @@
 }
 
 fn membership(host: u8) -> Membership {
-    let me = Peer { name: format!("n{host}"), order: 1, ..unknown_peer(address(host)) };
-    let config = PeersConfig { seeds: vec![address(1)], nodes: 2, ..PeersConfig::default() };
+    let me = Peer { name: format!("n{host}"), generation: 1, ..unknown_peer(address(host)) };
+    let config = PeersConfig { seeds: vec![address(1)], configured_nodes: 2, ..PeersConfig::default() };
     Membership::new(config, me, u64::from(host), 0)
 }
 
@@ -131,7 +131,7 @@
     one.apply_updates(1, vec![suspicion], false, &mut out);
     one.review(2, &mut out);
     let standing = |one: &Membership| one.members.get(&address(2)).unwrap().standing;
-    assert_eq!(standing(&one), Standing::Suspected);
+    assert_eq!(standing(&one), PeerStatus::Suspected);
     out.clear();
     for (now, expected) in [(11_000_000, 0), (13_000_000, 1)] {
         one.review(now, &mut out);
@@ -144,5 +144,5 @@
         let _ = reader.receive(14_000_000, &Envelope::decode(&data).unwrap(), &mut out);
     }
     one.review(15_000_000, &mut out);
-    assert_eq!(standing(&one), Standing::Present);
+    assert_eq!(standing(&one), PeerStatus::Present);
 }
--- a/src/peers/membership/traffic.rs
+++ b/src/peers/membership/traffic.rs
@@ -63,7 +63,7 @@
 
 impl Traffic {
     /// What was sent of a kind.
-    pub fn of(&self, kind: TrafficKind) -> TrafficCount {
+    pub fn sent(&self, kind: TrafficKind) -> TrafficCount {
         self.counts[kind as usize]
     }
 
--- a/src/peers/membership/traffic/tests.rs
+++ b/src/peers/membership/traffic/tests.rs
@@ -9,6 +9,6 @@
     }
     for (place, kind) in TRAFFIC_KINDS.into_iter().enumerate() {
         let expected = TrafficCount { datagrams: 2, bytes: 100 * (place as u64 + 1) + 1 };
-        assert_eq!(traffic.of(kind), expected, "{kind:?}");
+        assert_eq!(traffic.sent(kind), expected, "{kind:?}");
     }
 }
--- a/src/peers/membership/view.rs
+++ b/src/peers/membership/view.rs
@@ -11,7 +11,7 @@
 /// What became of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum PeerStatus {
     /// It answers.
     Present,
     /// It did not answer lately.
@@ -22,7 +22,7 @@
     Lost,
 }
 
-impl Standing {
+impl PeerStatus {
     /// Whether it is gone.
     pub(super) fn is_gone(self) -> bool {
         matches!(self, Self::Left | Self::Lost)
@@ -31,28 +31,32 @@
 
 /// One peer as it is seen.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Seen {
+pub struct PeerRecord {
     /// Who.
     pub peer: Peer,
     /// What became of it.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: PeerStatus,
     /// For how long, in microseconds.
-    pub since: Micros,
+    #[serde(rename = "since")]
+    pub status_age_us: Micros,
 }
 
 /// What a node sees of its cluster.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct View {
     /// All peers that it knows of, itself apart, by name.
-    pub peers: Vec<Seen>,
+    pub peers: Vec<PeerRecord>,
     /// Nodes that are present, itself among them.
     pub nodes: u32,
     /// The count that it relies on.
-    pub in_force: u32,
+    #[serde(rename = "in_force")]
+    pub effective_nodes: u32,
     /// How far views lie apart.
     pub agreement: Agreement,
     /// For how long, in microseconds.
-    pub since: Micros,
+    #[serde(rename = "since")]
+    pub agreement_age_us: Micros,
     /// Its own view's digest.
     pub digest: u64,
     /// Digests of others that differ, with those that have them.
@@ -65,7 +69,7 @@
     /// Nodes that are present, the node itself among them.
     pub nodes: u32,
     /// The count that it relies on.
-    pub in_force: u32,
+    pub effective_nodes: u32,
     /// How far views lie apart.
     pub agreement: Agreement,
     /// The digest of its view.
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -12,11 +12,11 @@
 mod membership;
 
 pub use budget::{ByteBudget, TrafficClass};
-pub use envelope::LARGEST;
+pub use envelope::MAX_DATAGRAM_BYTES;
 pub use identity::{Location, Peer};
 pub use membership::{
-    Agreement, Count, CountRules, Dropped, PeersConfig, Seen, Standing, Traffic, TrafficCount, TrafficKind,
-    View, ViewSummary, TRAFFIC_KINDS,
+    Agreement, DroppedDatagrams, EffectiveNodeCount, NodeCountRules, PeerRecord, PeerStatus, PeersConfig,
+    Traffic, TrafficCount, TrafficKind, View, ViewSummary, TRAFFIC_KINDS,
 };
 
 use dissemination::{Dissemination, DisseminationOutput, Entry, PublishError, StateKey};
@@ -40,25 +40,25 @@
         data: Vec<u8>,
     },
     /// A peer stands differently.
-    Standing {
+    StatusChanged {
         /// Who.
         peer: Peer,
         /// How.
-        standing: Standing,
+        status: PeerStatus,
     },
     /// Views lie apart, or together, differently.
-    Agreement(Agreement),
+    AgreementChanged(Agreement),
     /// The count that may be relied on has changed.
-    Count(u32),
+    EffectiveNodes(u32),
     /// Another process claims this name. `yields`: this one leaves the cluster to it, for good.
-    NameClaimed {
+    NameConflict {
         /// The other one.
-        by: Peer,
+        other: Peer,
         /// Whether this process gives way.
         yields: bool,
     },
     /// Others had declared this process gone; it has come back under a new identity.
-    CameBack,
+    Rejoined,
     /// What dissemination tells; never [`DisseminationOutput::Send`].
     Dissemination(DisseminationOutput),
 }
@@ -86,23 +86,23 @@
     }
 
     /// When it wants to be called next.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Micros> {
         let joined = self.joined.as_ref().map(|joined| joined.core.next());
         self.membership.next().into_iter().chain(joined).min()
     }
 
     /// Datagrams that were dropped up to now.
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DroppedDatagrams {
         self.admission.dropped()
     }
 
     /// Itself, as others know it.
-    pub fn me(&self) -> &Peer {
+    pub fn local_peer(&self) -> &Peer {
         self.membership.me()
     }
 
     /// A datagram has come.
-    pub fn datagram(&mut self, now: Micros, data: &[u8], out: &mut Vec<Output>) {
+    pub fn handle_datagram(&mut self, now: Micros, data: &[u8], out: &mut Vec<Output>) {
         if !self.admission.admit(now) || self.membership.has_left() {
             return;
         }
@@ -240,7 +240,7 @@
 
     /// Time has come for what is due. Datagrams that wait are to be handed over first: after a sleep they say who is
     /// there, while timers would only say who did not answer a process that stood still.
-    pub fn timers(&mut self, now: Micros, out: &mut Vec<Output>) {
+    pub fn handle_timers(&mut self, now: Micros, out: &mut Vec<Output>) {
         let begun = out.len();
         self.membership.run_timers(now, out);
         self.follow(now, begun, out);
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -34,12 +34,21 @@
 
 impl Network {
     fn new(old: &[bool], loss: f64) -> Self {
-        let config =
-            PeersConfig { seeds: vec![address(0)], nodes: old.len() as u32, ..PeersConfig::default() };
+        let config = PeersConfig {
+            seeds: vec![address(0)],
+            configured_nodes: old.len() as u32,
+            ..PeersConfig::default()
+        };
         let peer = |node: usize| {
             let name = format!("n{node}");
-            let me =
-                Peer { address: address(node), order: 1, salt: 1, observer: false, name, more: Vec::new() };
+            let me = Peer {
+                address: address(node),
+                generation: 1,
+                salt: 1,
+                observer: false,
+                name,
+                metadata: Vec::new(),
+            };
             Peers::new(config.clone(), me, node as u64, 0)
         };
         Self {
@@ -60,12 +69,12 @@
             while self.waiting.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
                 let Some(Reverse((_, to, data))) = self.waiting.pop() else { break };
                 let mut out = Vec::new();
-                self.peers[to].datagram(self.now, &data, &mut out);
+                self.peers[to].handle_datagram(self.now, &data, &mut out);
                 self.send(to, out);
             }
             for node in 0..self.peers.len() {
                 let mut out = Vec::new();
-                self.peers[node].timers(self.now, &mut out);
+                self.peers[node].handle_timers(self.now, &mut out);
                 self.send(node, out);
             }
         }
@@ -107,7 +116,7 @@
         network.run(15 * SECOND);
         assert!(network.is_agreed(), "loss {loss}");
         assert_eq!(network.unreadable, 0, "loss {loss}");
-        let repairs = |node: usize| network.peers[node].traffic().of(TrafficKind::Announce).datagrams;
+        let repairs = |node: usize| network.peers[node].traffic().sent(TrafficKind::Announce).datagrams;
         assert!((0..6).map(repairs).sum::<u64>() > 6, "lists are asked for beyond joining");
     }
 }
@@ -121,7 +130,7 @@
     network.run(20 * SECOND);
     for (peers, before) in network.peers.iter().zip(before) {
         for kind in TRAFFIC_KINDS {
-            let sent = peers.traffic().of(kind).bytes - before.of(kind).bytes;
+            let sent = peers.traffic().sent(kind).bytes - before.sent(kind).bytes;
             assert_eq!(sent > 0, kind == TrafficKind::Probe, "{kind:?}: {sent} bytes");
         }
     }
