--- a/lab/src/commands/dissemination.rs
+++ b/lab/src/commands/dissemination.rs
@@ -121,7 +121,7 @@
             o.mean,
             o.counters.duplicates,
             o.counters.repaired,
-            o.counters.given_up,
+            o.counters.abandoned,
         )?;
     }
     Ok(())
--- a/lab/src/dissemination/cluster.rs
+++ b/lab/src/dissemination/cluster.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use walkpick::peers::dissemination::overlay::Tree;
 use walkpick::peers::dissemination::{
-    Dissemination, DisseminationConfig, DisseminationCounters, DisseminationOutput, Entry, Line, Member,
+    Channel, Dissemination, DisseminationConfig, DisseminationCounters, DisseminationOutput, Entry, Member,
     PublishError, StateKey,
 };
 use walkpick::peers::ByteBudget;
@@ -197,7 +197,7 @@
         self.nodes[node].core.as_ref()
     }
 
-    /// The sums of all nodes' counters; `most_waiting` is the largest.
+    /// The sums of all nodes' counters; `max_queued` is the largest.
     pub fn counters(&self) -> DisseminationCounters {
         let mut all = DisseminationCounters::default();
         let cores = self.nodes.iter().filter_map(|node| node.core.as_ref());
@@ -274,7 +274,7 @@
             self.hand_over(from, node, data);
         }
         if let Some(core) = &mut self.nodes[node].core {
-            core.renewed(member);
+            core.rejoined(member);
         }
         self.nodes[node].wakes = None;
         self.timers(node);
@@ -416,7 +416,7 @@
     pub fn all_have(&self, publisher: u64, sequence: u64) -> bool {
         let running =
             self.nodes.iter().filter(|node| node.paused.is_none()).filter_map(|node| node.core.as_ref());
-        running.into_iter().all(|core| core.delivered(publisher) >= Some(sequence))
+        running.into_iter().all(|core| core.last_delivered(publisher) >= Some(sequence))
     }
 
     /// Whether every node that runs has this version of the publisher's state in force.
@@ -424,14 +424,14 @@
         let key = StateKey { publisher, kind: STATE };
         let running = self.nodes.iter().filter_map(|node| node.core.as_ref());
         running.into_iter().all(|core| {
-            core.in_force(key).is_some_and(|entry| (entry.epoch, entry.sequence) == (epoch, version))
+            core.applied_state(key).is_some_and(|entry| (entry.epoch, entry.sequence) == (epoch, version))
         })
     }
 
     /// An entry as a publisher's record keeps it.
     pub fn entry(&self, node: usize, epoch: u64, sequence: u64, bytes: usize) -> Entry {
         let id = EntryId { publisher: self.key(node), epoch, sequence };
-        Entry { epoch, sequence, kind: 0, schema: 1, payload: payload(id, bytes), more: Vec::new() }
+        Entry { epoch, sequence, kind: 0, schema: 1, payload: payload(id, bytes), extension: Vec::new() }
     }
 
     /// The nodes by how many others lie below them in a publisher's tree, the most first, the publisher apart.
@@ -439,7 +439,7 @@
         let members: Vec<Member> = (0..self.nodes.len()).map(|node| self.member(node)).collect();
         let tree = Tree::new(&members, self.key(publisher), &BTreeSet::new());
         let mut nodes: Vec<usize> = (0..members.len()).filter(|&node| node != publisher).collect();
-        nodes.sort_by_cached_key(|&node| Reverse(tree.below(node).len()));
+        nodes.sort_by_cached_key(|&node| Reverse(tree.subtree(node).len()));
         nodes
     }
 
@@ -488,7 +488,7 @@
         let away = self.nodes[of].core.is_none() || self.nodes[of].paused.is_some();
         let older = self.nodes[of].identity != identity;
         if let Some(core) = self.nodes[observer].core.as_mut().filter(|_| cut || away || older) {
-            core.member_gone(&member);
+            core.member_removed(&member);
         }
     }
 
@@ -499,7 +499,7 @@
         let mut out = Vec::new();
         let held = &mut self.nodes[node];
         if let Some(core) = &mut held.core {
-            core.timers(self.now, &mut held.budget, &mut out);
+            core.run_timers(self.now, &mut held.budget, &mut out);
         }
         self.carry_out(node, out);
         self.wake(node);
@@ -507,7 +507,7 @@
 
     fn wake(&mut self, node: usize) {
         let held = &mut self.nodes[node];
-        let Some(at) = held.core.as_ref().map(Dissemination::next) else { return };
+        let Some(at) = held.core.as_ref().map(Dissemination::next_timeout) else { return };
         let at = at.max(self.now);
         if held.paused.is_some() || held.wakes.is_some_and(|wakes| wakes <= at) {
             return;
@@ -551,7 +551,7 @@
                     self.ledger.epoch_changed(self.subscriber(node, publisher), first);
                 }
                 DisseminationOutput::StateOffered { publisher, entry } => self.judge(node, publisher, &entry),
-                DisseminationOutput::StateInForce { entry, .. } => {
+                DisseminationOutput::StateApplied { entry, .. } => {
                     let whole = entry.payload.iter().all(|&byte| byte == 7);
                     let (epoch, version) = (entry.epoch, entry.sequence);
                     self.in_force.push(InForce { at: self.now, node, epoch, version, whole });
@@ -583,8 +583,8 @@
 
     fn word(&mut self, node: usize, output: DisseminationOutput) {
         let word = Word { at: self.now, node, output };
-        if let DisseminationOutput::Acknowledged { line, sequence, .. } = word.output {
-            if !self.is_true(node, line, sequence) {
+        if let DisseminationOutput::Acknowledged { channel, sequence, .. } = word.output {
+            if !self.is_true(node, channel, sequence) {
                 self.false_words.push(word.clone());
             }
         }
@@ -592,14 +592,14 @@
     }
 
     /// Whether all that the publisher's node sees as present, in the life that it sees, have applied it.
-    fn is_true(&self, node: usize, line: Line, sequence: u64) -> bool {
+    fn is_true(&self, node: usize, channel: Channel, sequence: u64) -> bool {
         let publisher = self.key(node);
         let Some(seen) = self.nodes[node].core.as_ref().map(Dissemination::members) else { return false };
-        let applied = |core: &Dissemination| match line {
-            Line::Log => core.delivered(publisher) >= Some(sequence),
-            Line::State(kind) => {
-                core.in_force(StateKey { publisher, kind }).is_some_and(|entry| entry.sequence >= sequence)
-            }
+        let applied = |core: &Dissemination| match channel {
+            Channel::Log => core.last_delivered(publisher) >= Some(sequence),
+            Channel::State(kind) => core
+                .applied_state(StateKey { publisher, kind })
+                .is_some_and(|entry| entry.sequence >= sequence),
         };
         // One that has ended, or begun another life, since is nobody's claim.
         let lives = seen.iter().filter_map(|member| {
@@ -610,7 +610,7 @@
     }
 
     fn send(&mut self, node: usize, to: SocketAddr, data: Vec<u8>) {
-        let bytes = data.len() + self.config.overhead;
+        let bytes = data.len() + self.config.overhead_bytes;
         self.traffic.sent(self.now, node, bytes);
         self.bytes += bytes as u64;
         let Some(to) = place(to).filter(|&to| to < self.nodes.len()) else { return };
--- a/lab/src/dissemination/joint.rs
+++ b/lab/src/dissemination/joint.rs
@@ -140,11 +140,11 @@
                 DisseminationOutput::LogReset { after, through, .. } => {
                     self.ledger.reset(told.at, subscriber, after, through);
                 }
-                DisseminationOutput::StateInForce { entry, .. } => {
+                DisseminationOutput::StateApplied { entry, .. } => {
                     self.in_force.entry((entry.sequence, told.node)).or_insert(told.at);
                 }
-                DisseminationOutput::Acknowledged { after, nodes, .. } => {
-                    self.acknowledged.push(after);
+                DisseminationOutput::Acknowledged { elapsed, nodes, .. } => {
+                    self.acknowledged.push(elapsed);
                     self.false_words += usize::from((nodes as usize) < self.alive());
                 }
                 DisseminationOutput::Unacknowledged { .. } => self.named_late += 1,
--- a/lab/src/dissemination/scenario.rs
+++ b/lab/src/dissemination/scenario.rs
@@ -148,7 +148,7 @@
     let mut named_late = 0;
     for word in &cluster.words {
         match word.output {
-            DisseminationOutput::Acknowledged { after, .. } => acknowledged.push(after),
+            DisseminationOutput::Acknowledged { elapsed, .. } => acknowledged.push(elapsed),
             DisseminationOutput::Unacknowledged { .. } => named_late += 1,
             _ => {}
         }
--- a/lab/src/dissemination/tests.rs
+++ b/lab/src/dissemination/tests.rs
@@ -6,7 +6,7 @@
 use crate::model::links::Way;
 use crate::model::{Micros, SECOND};
 use walkpick::peers::dissemination::message::{encode, Message};
-use walkpick::peers::dissemination::{hash_name, DisseminationOutput, Line, PublishError};
+use walkpick::peers::dissemination::{hash_name, Channel, DisseminationOutput, PublishError};
 
 const NODES: usize = 530;
 const PUBLISHER: usize = 265;
@@ -151,12 +151,12 @@
     assert!(slowest(&cluster, 0) <= BOUND, "{}", slowest(&cluster, 0));
     let key = cluster.key(relay);
     for word in cluster.words.iter().filter(|word| word.at > paused_at) {
-        if let DisseminationOutput::Unacknowledged { lacking, .. } = &word.output {
-            assert!(lacking.iter().all(|lacking| *lacking == key), "{word:?}");
+        if let DisseminationOutput::Unacknowledged { lagging, .. } = &word.output {
+            assert!(lagging.iter().all(|lagging| *lagging == key), "{word:?}");
         }
     }
     let acknowledged = |word: &&super::cluster::Word| {
-        matches!(word.output, DisseminationOutput::Acknowledged { line: Line::Log, .. })
+        matches!(word.output, DisseminationOutput::Acknowledged { channel: Channel::Log, .. })
     };
     assert_eq!(cluster.words.iter().filter(acknowledged).count() as u64, flow.last());
 }
@@ -190,10 +190,10 @@
         .words
         .iter()
         .filter_map(|word| match &word.output {
-            DisseminationOutput::Unacknowledged { sequence, nodes, lacking, unnamed, .. }
+            DisseminationOutput::Unacknowledged { sequence, nodes, lagging, unlisted, .. }
                 if *sequence == last =>
             {
-                Some((*nodes, lacking.clone(), *unnamed))
+                Some((*nodes, lagging.clone(), *unlisted))
             }
             _ => None,
         })
@@ -326,7 +326,10 @@
     cluster.start(PUBLISHER);
     cluster.run(SECOND);
     let record = (1..flow.next).map(|sequence| cluster.entry(PUBLISHER, 1, sequence, BYTES)).collect();
-    assert_eq!(cluster.open(PUBLISHER, 1, flow.next, Vec::new()), Err(PublishError::Fenced { in_force: 1 }));
+    assert_eq!(
+        cluster.open(PUBLISHER, 1, flow.next, Vec::new()),
+        Err(PublishError::Fenced { current_epoch: 1 })
+    );
     cluster.open(PUBLISHER, 2, flow.next, record).unwrap();
     flow.epoch = 2;
     flow.run(&mut cluster, 3);
@@ -369,7 +372,10 @@
         .words
         .iter()
         .any(|word| { word.node == PUBLISHER && word.output == DisseminationOutput::Fenced { epoch: 2 } }));
-    assert!(matches!(cluster.publish(PUBLISHER, 1, 99, BYTES), Err(PublishError::Fenced { in_force: 2 })));
+    assert!(matches!(
+        cluster.publish(PUBLISHER, 1, 99, BYTES),
+        Err(PublishError::Fenced { current_epoch: 2 })
+    ));
     let key = cluster.key(PUBLISHER);
     for node in (0..NODES).filter(|&node| node != PUBLISHER && node != spare) {
         assert_eq!(cluster.ledger.count(cluster.subscriber(node, key), 1), 12, "node {node}");
@@ -446,21 +452,24 @@
     cluster.run(10 * SECOND);
     let state = walkpick::peers::dissemination::StateKey { publisher: key, kind: super::cluster::STATE };
     for node in 0..NODES {
-        let version = cluster.core(node).and_then(|core| core.in_force(state)).map(|entry| entry.sequence);
+        let version =
+            cluster.core(node).and_then(|core| core.applied_state(state)).map(|entry| entry.sequence);
         assert_eq!(version, Some(if node == refusing { 1 } else { 2 }), "node {node}");
     }
     let refused: Vec<_> = cluster
         .words
         .iter()
         .filter_map(|word| match &word.output {
-            DisseminationOutput::Refused { by, .. } => Some((by.key, by.version, by.reason.clone())),
+            DisseminationOutput::StateRefused { refusal, .. } => {
+                Some((refusal.key, refusal.version, refusal.reason.clone()))
+            }
             _ => None,
         })
         .collect();
     assert_eq!(refused, [(cluster.key(refusing), 2, "node 77 does not take it".to_owned())]);
     let all = |version: u64| {
         cluster.words.iter().any(|word| {
-            matches!(word.output, DisseminationOutput::Acknowledged { line: Line::State(_), sequence, .. }
+            matches!(word.output, DisseminationOutput::Acknowledged { channel: Channel::State(_), sequence, .. }
                 if sequence == version)
         })
     };
--- a/lab/src/hollow/deliveries.rs
+++ b/lab/src/hollow/deliveries.rs
@@ -4,7 +4,7 @@
 use super::protocol::{Acknowledged, Life, Micros, Numbered, Published, Reset};
 use super::schedule::{Phase, Schedule};
 use std::collections::{BTreeMap, BTreeSet};
-use walkpick::peers::dissemination::{DisseminationOutput, Line};
+use walkpick::peers::dissemination::{Channel, DisseminationOutput};
 
 const SECOND: Micros = 1_000_000;
 /// What is published so long before a fault may meet it on its way: the bound on an entry.
@@ -19,7 +19,7 @@
         DisseminationOutput::Deliver { entry, .. } => {
             life.entries.push(Numbered { number: entry.sequence, at })
         }
-        DisseminationOutput::StateInForce { entry, .. } => {
+        DisseminationOutput::StateApplied { entry, .. } => {
             life.versions.push(Numbered { number: entry.sequence, at });
         }
         DisseminationOutput::LogReset { after, through, .. } => {
@@ -32,11 +32,11 @@
 /// Notes what dissemination told a publisher.
 pub fn note_published(output: &DisseminationOutput, at: Micros, published: &mut Published) {
     match output {
-        DisseminationOutput::Acknowledged { line, sequence, nodes, .. } => {
+        DisseminationOutput::Acknowledged { channel, sequence, nodes, .. } => {
             let word = Acknowledged { number: *sequence, at, nodes: *nodes };
-            match line {
-                Line::Log => published.entries_acknowledged.push(word),
-                Line::State(_) => published.versions_acknowledged.push(word),
+            match channel {
+                Channel::Log => published.entries_acknowledged.push(word),
+                Channel::State(_) => published.versions_acknowledged.push(word),
             }
         }
         DisseminationOutput::Unacknowledged { .. } => published.unacknowledged += 1,
--- a/lab/src/hollow/node.rs
+++ b/lab/src/hollow/node.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 use walkpick::peers::dissemination::{
-    DisseminationConfig, DisseminationOutput, Line, PublishError, StateKey,
+    Channel, DisseminationConfig, DisseminationOutput, PublishError, StateKey,
 };
 use walkpick::peers::{Dropped, Output, Peer, Peers, PeersConfig, Standing, ViewSummary};
 
@@ -223,11 +223,11 @@
             Order::PublishEntry(bytes) => self.publish(now, |peers, out| {
                 peers
                     .publish_log_entry(now, KIND, SCHEMA, vec![7; bytes], out)
-                    .map(|entry| Some((Line::Log, entry)))
+                    .map(|entry| Some((Channel::Log, entry)))
             }),
             Order::PublishState(bytes) => self.publish(now, |peers, out| {
                 let version = peers.publish_state(now, KIND, SCHEMA, vec![7; bytes], out)?;
-                Ok(Some((Line::State(KIND), version)))
+                Ok(Some((Channel::State(KIND), version)))
             }),
         }
     }
@@ -236,15 +236,17 @@
     fn publish(
         &mut self,
         now: Micros,
-        issue: impl FnOnce(&mut Peers, &mut Vec<Output>) -> Result<Option<(Line, u64)>, PublishError>,
+        issue: impl FnOnce(&mut Peers, &mut Vec<Output>) -> Result<Option<(Channel, u64)>, PublishError>,
     ) {
         let Some(peers) = &mut self.peers else { return };
         let issued = issue(peers, &mut self.outputs);
         {
             let published = &mut *self.shared.published.borrow_mut();
             match issued {
-                Ok(Some((Line::Log, number))) => published.entries.push(Numbered { number, at: now }),
-                Ok(Some((Line::State(_), number))) => published.versions.push(Numbered { number, at: now }),
+                Ok(Some((Channel::Log, number))) => published.entries.push(Numbered { number, at: now }),
+                Ok(Some((Channel::State(_), number))) => {
+                    published.versions.push(Numbered { number, at: now })
+                }
                 Ok(None) => {}
                 Err(_) => published.refused += 1,
             }
--- a/lab/src/hollow/settings.rs
+++ b/lab/src/hollow/settings.rs
@@ -4,7 +4,7 @@
 use crate::cluster::topology::REGIONS;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
-use walkpick::peers::dissemination::LARGEST_PAYLOAD;
+use walkpick::peers::dissemination::MAX_PAYLOAD_BYTES;
 use walkpick::peers::PeersConfig;
 
 /// Processes that share the hollow nodes, at the most.
@@ -96,8 +96,8 @@
 impl Publish {
     fn tell_faults(&self, found: &mut Bounds) {
         found.within("publish.per_second", f64::from(self.per_second), 1.0, 1_000.0);
-        found.within("publish.entry_bytes", self.entry_bytes as f64, 1.0, LARGEST_PAYLOAD as f64);
-        found.within("publish.state_bytes", self.state_bytes as f64, 1.0, LARGEST_PAYLOAD as f64);
+        found.within("publish.entry_bytes", self.entry_bytes as f64, 1.0, MAX_PAYLOAD_BYTES as f64);
+        found.within("publish.state_bytes", self.state_bytes as f64, 1.0, MAX_PAYLOAD_BYTES as f64);
         found.seconds("publish.lasts", self.lasts, 1.0, 3_600.0);
         found.seconds("publish.state_every", self.state_every, 0.1, 3_600.0);
         found.seconds("publish.drain", self.drain, 0.0, 600.0);
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -190,7 +190,7 @@
             let (epoch, sequence) = (entry.epoch, entry.sequence);
             debug!(target: "peers", publisher, epoch, sequence, "an entry of a log has come");
         }
-        DisseminationOutput::StateInForce { publisher, entry } => {
+        DisseminationOutput::StateApplied { publisher, entry } => {
             let (epoch, version) = (entry.epoch, entry.sequence);
             debug!(target: "peers", publisher, epoch, version, "a state is in force");
         }
--- a/src/peers/dissemination/acknowledgement.rs
+++ b/src/peers/dissemination/acknowledgement.rs
@@ -3,8 +3,8 @@
 //! meet, so they add up; a publisher says "applied by all" only where the sum is that of the members it sees as present.
 
 use super::super::Micros;
-use super::message::{Lacking, Line, RefusedBy, Report};
-use super::overlay::{mix, Branch};
+use super::message::{Channel, LaggingNode, Refusal, Report};
+use super::overlay::{mix, TreeView};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
@@ -23,11 +23,11 @@
 
 /// Whose line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LineKey {
+pub struct ChannelKey {
     /// The publisher's key.
     pub publisher: u64,
     /// Its log or one of its states.
-    pub line: Line,
+    pub channel: Channel,
 }
 
 /// What this node has applied itself.
@@ -49,12 +49,12 @@
 
 /// The reports of the nodes below.
 #[derive(Clone, Debug, Default)]
-pub struct Reports(BTreeMap<LineKey, HashMap<SocketAddr, HeldReport>>);
+pub struct Reports(BTreeMap<ChannelKey, HashMap<SocketAddr, HeldReport>>);
 
 impl Reports {
     /// Takes a report in; whether there was room.
     pub fn insert(&mut self, now: Micros, from: SocketAddr, report: Report) -> bool {
-        let key = LineKey { publisher: report.publisher, line: report.line };
+        let key = ChannelKey { publisher: report.publisher, channel: report.channel };
         if self.0.len() >= MOST_LINES && !self.0.contains_key(&key) {
             return false;
         }
@@ -70,7 +70,7 @@
     }
 
     /// What a node last reported: epoch, sequence and set.
-    pub fn through(&self, key: LineKey, from: SocketAddr) -> Option<(u64, u64, u64)> {
+    pub fn through(&self, key: ChannelKey, from: SocketAddr) -> Option<(u64, u64, u64)> {
         let held = self.0.get(&key)?.get(&from)?;
         Some((held.report.epoch, held.report.through, held.report.set_hash))
     }
@@ -87,30 +87,30 @@
     pub fn gather(
         &self,
         now: Micros,
-        key: LineKey,
+        key: ChannelKey,
         own: &OwnProgress,
         needed: u64,
-        branch: Branch,
+        branch: TreeView,
     ) -> Report {
-        let me = branch.members.get(branch.own);
+        let me = branch.members.get(branch.own_index);
         let usable = self.usable(now, key, own.epoch, needed, branch);
         let mut gathered = Report {
             publisher: key.publisher,
-            line: key.line,
+            channel: key.channel,
             epoch: own.epoch,
             through: own.through,
             nodes: u32::from(me.is_some()),
             set_hash: me.map_or(0, |me| mix(me.id)),
-            lacking: Vec::new(),
-            lacking_more: false,
-            refused: Vec::new(),
-            refusals: 0,
+            lagging: Vec::new(),
+            lagging_truncated: false,
+            refusals: Vec::new(),
+            refusal_count: 0,
         };
         if let (Some(reason), Some(me)) = (&own.refused, me) {
-            gathered.refused.push(RefusedBy { key: me.key, version: own.through, reason: reason.clone() });
-            gathered.refusals = 1;
+            gathered.refusals.push(Refusal { key: me.key, version: own.through, reason: reason.clone() });
+            gathered.refusal_count = 1;
         }
-        for &child in branch.tree.children(branch.own) {
+        for &child in branch.tree.children(branch.own_index) {
             add_branch(&mut gathered, child, branch, &usable);
         }
         gathered
@@ -120,22 +120,22 @@
     fn usable(
         &self,
         now: Micros,
-        key: LineKey,
+        key: ChannelKey,
         epoch: u64,
         needed: u64,
-        branch: Branch,
+        branch: TreeView,
     ) -> HashMap<usize, &Report> {
         let Some(held) = self.0.get(&key) else { return HashMap::new() };
         let counts = |held: &HeldReport| {
             now < held.at + FRESH && held.report.epoch == epoch && held.report.through >= needed
         };
         let found = held.iter().filter(|(_, held)| counts(held));
-        found.filter_map(|(from, held)| Some((branch.place(*from)?, &held.report))).collect()
+        found.filter_map(|(from, held)| Some((branch.index_of(*from)?, &held.report))).collect()
     }
 }
 
 /// Adds one branch: by its first node's report, or else by those of the nodes below it.
-fn add_branch(gathered: &mut Report, place: usize, branch: Branch, usable: &HashMap<usize, &Report>) {
+fn add_branch(gathered: &mut Report, place: usize, branch: TreeView, usable: &HashMap<usize, &Report>) {
     let tree = branch.tree;
     if let Some(report) = usable.get(&place) {
         add_report(gathered, report);
@@ -144,7 +144,10 @@
     let Some(member) = branch.members.get(place) else { return };
     let is_below = |from: &usize| tree.ancestors(*from).any(|above| above == place);
     let some_below = usable.keys().any(is_below);
-    name(gathered, Lacking { key: member.key, branch: !some_below && !tree.children(place).is_empty() });
+    name(
+        gathered,
+        LaggingNode { key: member.key, whole_subtree: !some_below && !tree.children(place).is_empty() },
+    );
     if some_below {
         tree.children(place).iter().for_each(|&child| add_branch(gathered, child, branch, usable));
     }
@@ -153,26 +156,26 @@
 fn add_report(gathered: &mut Report, report: &Report) {
     if report.through < gathered.through {
         gathered.through = report.through;
-        gathered.refusals = 0;
+        gathered.refusal_count = 0;
     }
     if report.through == gathered.through {
-        gathered.refusals = gathered.refusals.saturating_add(report.refusals);
+        gathered.refusal_count = gathered.refusal_count.saturating_add(report.refusal_count);
     }
     gathered.nodes = gathered.nodes.saturating_add(report.nodes);
     gathered.set_hash = gathered.set_hash.wrapping_add(report.set_hash);
-    gathered.lacking_more |= report.lacking_more;
-    report.lacking.iter().for_each(|lacking| name(gathered, *lacking));
-    for refused in &report.refused {
-        if gathered.refused.len() < MOST_REFUSED {
-            gathered.refused.push(refused.clone());
+    gathered.lagging_truncated |= report.lagging_truncated;
+    report.lagging.iter().for_each(|lagging| name(gathered, *lagging));
+    for refusal in &report.refusals {
+        if gathered.refusals.len() < MOST_REFUSED {
+            gathered.refusals.push(refusal.clone());
         }
     }
 }
 
-fn name(gathered: &mut Report, lacking: Lacking) {
-    if gathered.lacking.len() < MOST_NAMED {
-        gathered.lacking.push(lacking);
+fn name(gathered: &mut Report, lagging: LaggingNode) {
+    if gathered.lagging.len() < MOST_NAMED {
+        gathered.lagging.push(lagging);
     } else {
-        gathered.lacking_more = true;
+        gathered.lagging_truncated = true;
     }
 }
--- a/src/peers/dissemination/asking.rs
+++ b/src/peers/dissemination/asking.rs
@@ -139,7 +139,7 @@
         asking.turn = asking.turn.wrapping_add(1);
         let position = log.position(publisher);
         let states = self.states.positions_of(publisher);
-        let known = source.and_then(|source| self.overlay.at(source).copied());
+        let known = source.and_then(|source| self.overlay.member_at(source).copied());
         let target = known.map(|member| Target { member, hops: 0 }).or_else(|| self.target(publisher, turn));
         let Some(target) = target else { return };
         let hops = if urgent { 0 } else { target.hops };
@@ -153,7 +153,7 @@
             asking.ask_at = now + every;
         }
         let positions =
-            Message::Positions { logs: vec![position], states, complete: false, hops, joining: false };
+            Message::Digest { logs: vec![position], states, complete: false, hops, joining: false };
         self.outbox.small(TrafficClass::Log, target.address, positions);
     }
 
@@ -173,7 +173,7 @@
         let older = |one: &StatePosition| StatePosition { epoch: 0, version: 0, ..*one };
         let behind = theirs.iter().filter(|one| self.states.is_behind(one)).map(older).collect();
         let positions =
-            Message::Positions { logs: Vec::new(), states: behind, complete: false, hops: 1, joining: false };
+            Message::Digest { logs: Vec::new(), states: behind, complete: false, hops: 1, joining: false };
         self.outbox.small(TrafficClass::Log, from, positions);
     }
 
@@ -183,7 +183,8 @@
         /// Levels above, by turn; none: elsewhere.
         const TURNS: [Option<u8>; 8] = [Some(1), Some(1), Some(2), Some(1), Some(3), Some(2), Some(4), None];
         let above = TURNS[turn % TURNS.len()].and_then(|level| {
-            let member = self.overlay.branch(publisher).ancestors().nth(usize::from(level) - 1).copied()?;
+            let member =
+                self.overlay.tree_view(publisher).ancestors().nth(usize::from(level) - 1).copied()?;
             Some(Target { member, hops: level })
         });
         above.or_else(|| self.elsewhere((turn / TURNS.len()).is_multiple_of(2)))
@@ -221,14 +222,14 @@
             self.logs.iter().filter(|(_, log)| log.based).map(|(&key, log)| log.position(key)).collect();
         let states = self.states.positions();
         let (to, hops) = (target.member.address, target.hops);
-        let all = Message::Positions { logs, states, complete: true, hops, joining };
-        if encode(self.cluster, &all).len() <= self.config.largest_datagram {
+        let all = Message::Digest { logs, states, complete: true, hops, joining };
+        if encode(self.cluster, &all).len() <= self.config.max_datagram_bytes {
             self.outbox.small(TrafficClass::Log, to, all);
             return;
         }
         // Many states, and logs with many holes: in two parts, neither of which is all.
-        let Message::Positions { logs, states, .. } = all else { return };
-        let part = |logs, states| Message::Positions { logs, states, complete: false, hops, joining };
+        let Message::Digest { logs, states, .. } = all else { return };
+        let part = |logs, states| Message::Digest { logs, states, complete: false, hops, joining };
         self.outbox.small(TrafficClass::Log, to, part(logs, Vec::new()));
         self.outbox.small(TrafficClass::Log, to, part(Vec::new(), states));
     }
@@ -242,7 +243,7 @@
         out: &mut Vec<DisseminationOutput>,
     ) {
         let me = self.me;
-        let near = self.overlay.at(from).is_some_and(|member| member.shares_region(&me));
+        let near = self.overlay.member_at(from).is_some_and(|member| member.shares_region(&me));
         let hop = if near { HOP_NEAR } else { HOP_FAR };
         let grown_before = now.saturating_sub(hop * Micros::from(asked.hops));
         let mut seen = BTreeSet::new();
@@ -258,7 +259,7 @@
                 // What it holds beyond the change is void; it is told of the epoch first.
                 continue;
             }
-            let highest = position.holds.iter().map(|range| range.1).fold(position.delivered, u64::max);
+            let highest = position.held_ranges.iter().map(|range| range.1).fold(position.delivered, u64::max);
             if position.epoch == log.epoch() {
                 log.knows_of(now, highest);
                 self.outbox.has(publisher, from, position.delivered);
@@ -269,10 +270,10 @@
                 asking.source = Some(from);
             }
             // The two above fill a gap at once; further up, whatever is new is on its way to a whole branch.
-            let before = if position.holds.is_empty() || asked.hops > 2 { grown_before } else { now };
+            let before = if position.held_ranges.is_empty() || asked.hops > 2 { grown_before } else { now };
             let lacks = log.lacked_at(&position).any(|held| held.at <= before);
             if lacks || log.snapshot_for(&position).is_some() {
-                self.counters.given_up += self.outbox.repair(from, position, before);
+                self.counters.abandoned += self.outbox.repair(from, position, before);
             }
         }
         if asked.complete && self.joining.is_none() {
@@ -289,11 +290,11 @@
                 epoch,
                 first,
                 delivered: first - 1,
-                holds: Vec::new(),
+                held_ranges: Vec::new(),
                 stale: false,
             };
             if log.lacked_at(&nothing).any(|held| held.at <= grown_before) {
-                self.counters.given_up += self.outbox.repair(from, nothing, grown_before);
+                self.counters.abandoned += self.outbox.repair(from, nothing, grown_before);
             }
         }
     }
--- a/src/peers/dissemination/log.rs
+++ b/src/peers/dissemination/log.rs
@@ -169,17 +169,17 @@
 
     /// What this node holds, as others are told.
     pub fn position(&self, publisher: u64) -> LogPosition {
-        let mut holds: Vec<(u64, u64)> = Vec::new();
+        let mut held_ranges: Vec<(u64, u64)> = Vec::new();
         for &sequence in self.entries.range(self.delivered + 1..).map(|(sequence, _)| sequence) {
-            let full = holds.len() >= MOST_RANGES;
-            match holds.last_mut() {
+            let full = held_ranges.len() >= MOST_RANGES;
+            match held_ranges.last_mut() {
                 Some(range) if range.1 + 1 == sequence => range.1 = sequence,
                 _ if full => break,
-                _ => holds.push((sequence, sequence)),
+                _ => held_ranges.push((sequence, sequence)),
             }
         }
         let (epoch, first) = (self.epoch(), self.first());
-        LogPosition { publisher, epoch, first, delivered: self.delivered, holds, stale: self.stale }
+        LogPosition { publisher, epoch, first, delivered: self.delivered, held_ranges, stale: self.stale }
     }
 
     /// One entry.
@@ -195,7 +195,8 @@
 
     /// What somebody at that position lacks and this node holds, in order.
     pub fn lacked_at<'a>(&'a self, theirs: &'a LogPosition) -> impl Iterator<Item = &'a Held> {
-        let holds = |sequence: u64| theirs.holds.iter().any(|range| (range.0..=range.1).contains(&sequence));
+        let holds =
+            |sequence: u64| theirs.held_ranges.iter().any(|range| (range.0..=range.1).contains(&sequence));
         self.entries
             .range(theirs.delivered + 1..=theirs.delivered.saturating_add(WINDOW))
             .filter(move |(sequence, _)| !holds(**sequence))
@@ -205,8 +206,8 @@
     /// Where somebody at that position has to go on by a snapshot: the last entry that is left out.
     pub fn snapshot_for(&self, theirs: &LogPosition) -> Option<u64> {
         let oldest = self.entries.keys().next().copied().unwrap_or(self.delivered + 1);
-        let given_up = self.evicted > theirs.delivered || theirs.stale && self.based;
-        (given_up && oldest > theirs.delivered + 1).then_some(oldest - 1)
+        let abandoned = self.evicted > theirs.delivered || theirs.stale && self.based;
+        (abandoned && oldest > theirs.delivered + 1).then_some(oldest - 1)
     }
 
     /// Bytes that are held.
@@ -242,5 +243,5 @@
 }
 
 fn bytes(held: &Held) -> usize {
-    HELD_BYTES + held.entry.payload.len() + held.entry.more.len()
+    HELD_BYTES + held.entry.payload.len() + held.entry.extension.len()
 }
--- a/src/peers/dissemination/message.rs
+++ b/src/peers/dissemination/message.rs
@@ -5,9 +5,9 @@
 /// The version of these messages. A node drops and counts what it can't read.
 pub const SCHEMA: u16 = 1;
 /// The largest payload of an entry.
-pub const LARGEST_PAYLOAD: usize = 1_024;
+pub const MAX_PAYLOAD_BYTES: usize = 1_024;
 /// The most that a later version may add to an entry: it is carried on as it is.
-pub const LARGEST_MORE: usize = 32;
+pub const MAX_EXTENSION_BYTES: usize = 32;
 
 /// One entry of a log, or one version of a state. What identifies it is publisher, epoch and sequence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,25 +23,25 @@
     /// What it says.
     pub payload: Vec<u8>,
     /// What later versions add.
-    pub more: Vec<u8>,
+    pub extension: Vec<u8>,
 }
 
 impl Entry {
     /// Whether it is no larger than entries may be.
     pub fn fits(&self) -> bool {
-        self.payload.len() <= LARGEST_PAYLOAD && self.more.len() <= LARGEST_MORE
+        self.payload.len() <= MAX_PAYLOAD_BYTES && self.extension.len() <= MAX_EXTENSION_BYTES
     }
 
     /// Bytes on the wire, at the most.
     pub fn size(&self) -> usize {
         const FIELDS: usize = 3 * 5 + 2 * 3 + 2 * 2;
-        FIELDS + self.payload.len() + self.more.len()
+        FIELDS + self.payload.len() + self.extension.len()
     }
 }
 
 /// What belongs to one publisher and is acknowledged together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Line {
+pub enum Channel {
     /// Its log.
     Log,
     /// Its versioned state of this kind.
@@ -60,7 +60,7 @@
     /// All up to this one were delivered.
     pub delivered: u64,
     /// Ranges held behind that, both ends included.
-    pub holds: Vec<(u64, u64)>,
+    pub held_ranges: Vec<(u64, u64)>,
     /// It has been behind for so long that it takes a snapshot where an entry is no longer held.
     pub stale: bool,
 }
@@ -80,16 +80,16 @@
 
 /// A node that lacks entries, or a whole branch of the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lacking {
+pub struct LaggingNode {
     /// The node's key.
     pub key: u64,
     /// Nothing is known of all that is below it either.
-    pub branch: bool,
+    pub whole_subtree: bool,
 }
 
 /// A node that refused a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RefusedBy {
+pub struct Refusal {
     /// The node's key.
     pub key: u64,
     /// The version.
@@ -104,7 +104,7 @@
     /// The publisher's key.
     pub publisher: u64,
     /// Which line of it.
-    pub line: Line,
+    pub channel: Channel,
     /// The epoch.
     pub epoch: u64,
     /// The sequence.
@@ -114,13 +114,13 @@
     /// The sum over their lives.
     pub set_hash: u64,
     /// Nodes of the branch that are not in the set, as far as they fit.
-    pub lacking: Vec<Lacking>,
+    pub lagging: Vec<LaggingNode>,
     /// Whether some did not fit.
-    pub lacking_more: bool,
+    pub lagging_truncated: bool,
     /// Who refused the version `through`, as far as they fit.
-    pub refused: Vec<RefusedBy>,
+    pub refusals: Vec<Refusal>,
     /// How many refused it.
-    pub refusals: u32,
+    pub refusal_count: u32,
 }
 
 /// One message.
@@ -147,7 +147,7 @@
         entry: Entry,
     },
     /// What the sender holds: a digest. Who has more sends it.
-    Positions {
+    Digest {
         /// Logs.
         logs: Vec<LogPosition>,
         /// States.
@@ -157,11 +157,11 @@
         /// How many hops of the tree an entry takes from the receiver to the sender, as far as known: what is younger than
         /// that is on its way. None where nothing comes from the sender's parent, and all is wanted.
         hops: u8,
-        /// The sender has just started: it asks for a [`Message::Welcome`].
+        /// The sender has just started: it asks for a [`Message::JoinResponse`].
         joining: bool,
     },
     /// To a node that has just started: where each log stands.
-    Welcome {
+    JoinResponse {
         /// The sender's positions.
         logs: Vec<LogPosition>,
     },
@@ -195,7 +195,7 @@
 }
 
 #[derive(Serialize)]
-struct PacketOut<'a> {
+struct OutgoingPacket<'a> {
     schema: u16,
     cluster: u32,
     message: &'a Message,
@@ -209,7 +209,7 @@
 
 /// Why a datagram can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
+pub enum DecodeError {
     /// It is longer than datagrams may be.
     #[error("too long")]
     Oversized,
@@ -227,20 +227,20 @@
 /// Writes a message.
 pub fn encode(cluster: u32, message: &Message) -> Vec<u8> {
     // A message of owned fields can't fail to be written.
-    postcard::to_stdvec(&PacketOut { schema: SCHEMA, cluster, message }).unwrap_or_default()
+    postcard::to_stdvec(&OutgoingPacket { schema: SCHEMA, cluster, message }).unwrap_or_default()
 }
 
 /// Reads a message.
-pub fn decode(cluster: u32, largest: usize, data: &[u8]) -> Result<Message, Unreadable> {
+pub fn decode(cluster: u32, largest: usize, data: &[u8]) -> Result<Message, DecodeError> {
     if data.len() > largest {
-        return Err(Unreadable::Oversized);
+        return Err(DecodeError::Oversized);
     }
-    let (header, rest) = postcard::take_from_bytes::<Header>(data).map_err(|_| Unreadable::Malformed)?;
+    let (header, rest) = postcard::take_from_bytes::<Header>(data).map_err(|_| DecodeError::Malformed)?;
     if header.cluster != cluster {
-        return Err(Unreadable::Foreign);
+        return Err(DecodeError::Foreign);
     }
     if header.schema > SCHEMA {
-        return Err(Unreadable::LaterSchema);
+        return Err(DecodeError::LaterSchema);
     }
-    postcard::from_bytes(rest).map_err(|_| Unreadable::Malformed)
+    postcard::from_bytes(rest).map_err(|_| DecodeError::Malformed)
 }
--- a/src/peers/dissemination/mod.rs
+++ b/src/peers/dissemination/mod.rs
@@ -22,17 +22,17 @@
 mod sending;
 
 pub use config::DisseminationConfig;
-pub use message::{Entry, Line, RefusedBy, LARGEST_PAYLOAD};
+pub use message::{Channel, Entry, Refusal, MAX_PAYLOAD_BYTES};
 pub use output::{DisseminationCounters, DisseminationOutput};
 pub use overlay::{hash_name, Member};
 pub use publishing::PublishError;
 pub use state::StateKey;
 
 use super::{ByteBudget, Micros};
-use acknowledgement::{LineKey, OwnProgress, Reports, LONGEST_REASON};
+use acknowledgement::{ChannelKey, OwnProgress, Reports, LONGEST_REASON};
 use asking::Asking;
 use log::Log;
-use message::Unreadable;
+use message::DecodeError;
 use overlay::Overlay;
 use publishing::Publishing;
 use reporting::{Confirmations, Reporting};
@@ -115,17 +115,17 @@
     }
 
     /// A life of a member is gone.
-    pub fn member_gone(&mut self, member: &Member) {
+    pub fn member_removed(&mut self, member: &Member) {
         if self.overlay.remove(member) {
-            self.counters.given_up += self.outbox.forget_node(member.address);
+            self.counters.abandoned += self.outbox.forget_node(member.address);
             self.reports.forget(member.address);
         }
     }
 
     /// This node has come back as another life, after others had declared it gone.
-    pub fn renewed(&mut self, me: Member) {
+    pub fn rejoined(&mut self, me: Member) {
         self.me = me;
-        self.overlay.renew(me);
+        self.overlay.set_own(me);
     }
 
     /// This node, as others know it.
@@ -134,7 +134,7 @@
     }
 
     /// When it wants to be called next.
-    pub fn next(&self) -> Micros {
+    pub fn next_timeout(&self) -> Micros {
         self.outbox.retry_at.map_or(self.tick_at, |retry| retry.min(self.tick_at))
     }
 
@@ -159,17 +159,17 @@
     }
 
     /// The last entry of a publisher's log that was delivered here.
-    pub fn delivered(&self, publisher: u64) -> Option<u64> {
+    pub fn last_delivered(&self, publisher: u64) -> Option<u64> {
         self.logs.get(&publisher).filter(|log| log.based).map(|log| log.delivered)
     }
 
     /// The version of a state that is in force here.
-    pub fn in_force(&self, key: StateKey) -> Option<&Entry> {
-        self.states.get(key).and_then(|slot| slot.in_force.as_ref())
+    pub fn applied_state(&self, key: StateKey) -> Option<&Entry> {
+        self.states.get(key).and_then(|slot| slot.applied.as_ref())
     }
 
     /// Time has come for what is due.
-    pub fn timers(&mut self, now: Micros, budget: &mut ByteBudget, out: &mut Vec<DisseminationOutput>) {
+    pub fn run_timers(&mut self, now: Micros, budget: &mut ByteBudget, out: &mut Vec<DisseminationOutput>) {
         if now >= self.tick_at {
             self.tick_at = now + TICK;
             if self.joining.is_some() && self.overlay.members().len() <= 1 {
@@ -195,12 +195,12 @@
         budget: &mut ByteBudget,
         out: &mut Vec<DisseminationOutput>,
     ) {
-        match message::decode(self.cluster, self.config.largest_datagram, data) {
+        match message::decode(self.cluster, self.config.max_datagram_bytes, data) {
             Ok(message) => self.handle(now, from, message, out),
-            Err(Unreadable::Oversized) => self.counters.oversized += 1,
-            Err(Unreadable::Malformed) => self.counters.malformed += 1,
-            Err(Unreadable::Foreign) => self.counters.foreign += 1,
-            Err(Unreadable::LaterSchema) => self.counters.later_schema += 1,
+            Err(DecodeError::Oversized) => self.counters.oversized += 1,
+            Err(DecodeError::Malformed) => self.counters.malformed += 1,
+            Err(DecodeError::Foreign) => self.counters.foreign += 1,
+            Err(DecodeError::LaterSchema) => self.counters.later_schema += 1,
         }
         self.flush(now, budget, out);
     }
@@ -226,7 +226,7 @@
         out: &mut Vec<DisseminationOutput>,
     ) {
         let verdict = match verdict {
-            Ok(()) => Verdict::InForce,
+            Ok(()) => Verdict::Applied,
             Err(mut reason) => {
                 let end =
                     (0..=LONGEST_REASON.min(reason.len())).rev().find(|&end| reason.is_char_boundary(end));
@@ -235,9 +235,9 @@
             }
         };
         let Some(slot) = self.states.decide(key, epoch, version, verdict) else { return };
-        if slot.verdict == Verdict::InForce {
+        if slot.verdict == Verdict::Applied {
             let entry = slot.newest.clone();
-            out.push(DisseminationOutput::StateInForce { publisher: key.publisher, entry });
+            out.push(DisseminationOutput::StateApplied { publisher: key.publisher, entry });
         }
         self.reporting.entry(key.publisher).or_default().changed = true;
     }
@@ -249,20 +249,20 @@
     }
 
     /// What this node has applied of each line of a publisher.
-    fn progress(&self, publisher: u64) -> Vec<(LineKey, OwnProgress)> {
+    fn progress(&self, publisher: u64) -> Vec<(ChannelKey, OwnProgress)> {
         let mut found = Vec::new();
         if let Some(log) = self.logs.get(&publisher).filter(|log| log.based) {
             let own = OwnProgress { epoch: log.epoch(), through: log.delivered, refused: None };
-            found.push((LineKey { publisher, line: Line::Log }, own));
+            found.push((ChannelKey { publisher, channel: Channel::Log }, own));
         }
         for (key, slot) in self.states.iter().filter(|(key, _)| key.publisher == publisher) {
             let refused = match &slot.verdict {
-                Verdict::Open => continue,
-                Verdict::InForce => None,
+                Verdict::Pending => continue,
+                Verdict::Applied => None,
                 Verdict::Refused(reason) => Some(reason.clone()),
             };
             let own = OwnProgress { epoch: slot.newest.epoch, through: slot.newest.sequence, refused };
-            found.push((LineKey { publisher, line: Line::State(key.kind) }, own));
+            found.push((ChannelKey { publisher, channel: Channel::State(key.kind) }, own));
         }
         found
     }
--- a/src/peers/dissemination/output.rs
+++ b/src/peers/dissemination/output.rs
@@ -1,7 +1,7 @@
 //! What the core wants done, what it tells, and what it counts.
 
 use super::super::Micros;
-use super::message::{Entry, Line, RefusedBy};
+use super::message::{Channel, Entry, Refusal};
 use std::net::SocketAddr;
 
 /// What dissemination wants done, or tells.
@@ -49,42 +49,42 @@
         entry: Entry,
     },
     /// A version of a state is in force.
-    StateInForce {
+    StateApplied {
         /// The publisher's key.
         publisher: u64,
         /// The version.
         entry: Entry,
     },
     /// To the publisher: nodes that refused a version.
-    Refused {
+    StateRefused {
         /// The kind of the state.
         kind: u16,
         /// Who, which version, why.
-        by: RefusedBy,
+        refusal: Refusal,
     },
     /// To the publisher: all present nodes have applied this.
     Acknowledged {
         /// Its log or state.
-        line: Line,
+        channel: Channel,
         /// The entry or version.
         sequence: u64,
         /// The time from publishing it to this word.
-        after: Micros,
+        elapsed: Micros,
         /// How many nodes.
         nodes: u32,
     },
     /// To the publisher: within the bound not all present nodes have said that they applied this.
     Unacknowledged {
         /// Its log or state.
-        line: Line,
+        channel: Channel,
         /// The entry or version.
         sequence: u64,
         /// How many nodes have said so.
         nodes: u32,
         /// Keys of those that have not, as far as they are named.
-        lacking: Vec<u64>,
+        lagging: Vec<u64>,
         /// How many more there are.
-        unnamed: u32,
+        unlisted: u32,
     },
     /// This node has been behind in a log for longer than the bound.
     Stale {
@@ -118,11 +118,13 @@
     /// Entries too far ahead, or of publishers over the bound.
     pub refused: u64,
     /// Pushes, answers and reports that were given up because too much waited; what they held is asked for again.
-    pub given_up: u64,
+    #[serde(rename = "given_up")]
+    pub abandoned: u64,
     /// Entries that were sent again.
     pub repaired: u64,
     /// The most datagrams' worth of messages that waited for the budget.
-    pub most_waiting: u64,
+    #[serde(rename = "most_waiting")]
+    pub max_queued: u64,
 }
 
 impl DisseminationCounters {
@@ -135,8 +137,8 @@
         self.duplicates += other.duplicates;
         self.fenced += other.fenced;
         self.refused += other.refused;
-        self.given_up += other.given_up;
+        self.abandoned += other.abandoned;
         self.repaired += other.repaired;
-        self.most_waiting = self.most_waiting.max(other.most_waiting);
+        self.max_queued = self.max_queued.max(other.max_queued);
     }
 }
--- a/src/peers/dissemination/overlay.rs
+++ b/src/peers/dissemination/overlay.rs
@@ -116,7 +116,7 @@
     }
 
     /// All nodes at and below a place.
-    pub fn below(&self, place: usize) -> Vec<usize> {
+    pub fn subtree(&self, place: usize) -> Vec<usize> {
         let mut found = vec![place];
         let mut next = 0;
         while let Some(&at) = found.get(next) {
@@ -215,7 +215,7 @@
     }
 
     /// The node itself has come back as another life.
-    pub fn renew(&mut self, me: Member) {
+    pub fn set_own(&mut self, me: Member) {
         self.me = me;
         self.put(me);
     }
@@ -245,19 +245,19 @@
     }
 
     /// Who is at an address.
-    pub fn at(&self, address: SocketAddr) -> Option<&Member> {
+    pub fn member_at(&self, address: SocketAddr) -> Option<&Member> {
         let key = self.by_address.get(&address)?;
         let place = self.members.binary_search_by_key(key, |held| held.key).ok()?;
         self.members.get(place)
     }
 
     /// A publisher's tree, built where it is not there yet.
-    pub fn branch(&mut self, publisher: u64) -> Branch<'_> {
+    pub fn tree_view(&mut self, publisher: u64) -> TreeView<'_> {
         let members = &self.members;
-        let own = members.binary_search_by_key(&self.me.key, |held| held.key).unwrap_or(0);
+        let own_index = members.binary_search_by_key(&self.me.key, |held| held.key).unwrap_or(0);
         let suspected = &self.suspected;
         let tree = self.trees.entry(publisher).or_insert_with(|| Tree::new(members, publisher, suspected));
-        Branch { members, by_address: &self.by_address, own, tree }
+        TreeView { members, by_address: &self.by_address, own_index, tree }
     }
 
     fn put(&mut self, member: Member) {
@@ -277,29 +277,29 @@
 
 /// A node's place in one publisher's tree.
 #[derive(Clone, Copy, Debug)]
-pub struct Branch<'a> {
+pub struct TreeView<'a> {
     /// All that are present.
     pub members: &'a [Member],
     by_address: &'a HashMap<SocketAddr, u64>,
     /// The node's own place.
-    pub own: usize,
+    pub own_index: usize,
     /// The tree.
     pub tree: &'a Tree,
 }
 
-impl<'a> Branch<'a> {
+impl<'a> TreeView<'a> {
     /// The members that the node passes entries to.
     pub fn children(self) -> impl Iterator<Item = &'a Member> {
-        self.tree.children(self.own).iter().filter_map(move |&place| self.members.get(place))
+        self.tree.children(self.own_index).iter().filter_map(move |&place| self.members.get(place))
     }
 
     /// The members above the node, the nearest first.
     pub fn ancestors(self) -> impl Iterator<Item = &'a Member> {
-        self.tree.ancestors(self.own).filter_map(move |place| self.members.get(place))
+        self.tree.ancestors(self.own_index).filter_map(move |place| self.members.get(place))
     }
 
     /// The place of who is at an address.
-    pub fn place(self, address: SocketAddr) -> Option<usize> {
+    pub fn index_of(self, address: SocketAddr) -> Option<usize> {
         let key = self.by_address.get(&address)?;
         self.members.binary_search_by_key(key, |held| held.key).ok()
     }
--- a/src/peers/dissemination/publishing.rs
+++ b/src/peers/dissemination/publishing.rs
@@ -1,10 +1,10 @@
 //! A publisher's own side: issuing entries under an epoch, and saying who has applied them.
 
 use super::super::Micros;
-use super::acknowledgement::LineKey;
+use super::acknowledgement::ChannelKey;
 use super::log::{Inserted, Log, RETAINED};
-use super::message::{Entry, Lacking, Line, RefusedBy, Report, LARGEST_PAYLOAD};
-use super::overlay::Branch;
+use super::message::{Channel, Entry, LaggingNode, Refusal, Report, MAX_PAYLOAD_BYTES};
+use super::overlay::TreeView;
 use super::{Dissemination, DisseminationOutput};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
@@ -27,20 +27,20 @@
     #[error("not opened for publishing")]
     NotOpen,
     /// Another process publishes under a later epoch.
-    #[error("epoch {in_force} is in force")]
+    #[error("epoch {current_epoch} is in force")]
     Fenced {
         /// The epoch in force.
-        in_force: u64,
+        current_epoch: u64,
     },
     /// The payload is longer than entries may be.
-    #[error("a payload of {found} bytes, at most {LARGEST_PAYLOAD} are carried")]
-    TooLarge {
+    #[error("a payload of {bytes} bytes, at most {MAX_PAYLOAD_BYTES} are carried")]
+    PayloadTooLarge {
         /// Its bytes.
-        found: usize,
+        bytes: usize,
     },
     /// Too many entries wait for their acknowledgement.
     #[error("{0} entries wait for their acknowledgement already")]
-    Full(usize),
+    TooManyPending(usize),
     /// Sequences begin at 1.
     #[error("sequences and epochs begin at 1")]
     ZeroSequence,
@@ -59,7 +59,7 @@
     epoch: u64,
     next: u64,
     versions: BTreeMap<u16, u64>,
-    pending: BTreeMap<(Line, u64), Pending>,
+    pending: BTreeMap<(Channel, u64), Pending>,
     refusals: BTreeSet<(u64, u16, u64)>,
     fenced: Option<u64>,
     /// The view that reports are held against, and since when.
@@ -92,7 +92,7 @@
         let publisher = self.me.key;
         let known = self.logs.get(&publisher).map_or(0, Log::epoch);
         if known >= epoch {
-            return Err(PublishError::Fenced { in_force: known });
+            return Err(PublishError::Fenced { current_epoch: known });
         }
         let mut log = self.logs.remove(&publisher).unwrap_or_else(|| Log::new(now, 0, 1, 0, false));
         if !log.based {
@@ -105,16 +105,16 @@
             let epoch = entry.epoch.max(1);
             log.adopt(now, epoch, sequence);
             if log.insert(now, entry) == Inserted::New {
-                for child in self.overlay.branch(publisher).children() {
-                    self.counters.given_up += self.outbox.push_entry(publisher, child.address, sequence);
+                for child in self.overlay.tree_view(publisher).children() {
+                    self.counters.abandoned += self.outbox.push_entry(publisher, child.address, sequence);
                 }
             }
         }
         log.adopt(now, epoch, first);
         self.logs.insert(publisher, log);
         self.deliver(now, publisher, out);
-        let lacking = self.logs.get(&publisher).map_or(0, |log| log.delivered);
-        if lacking < first - 1 {
+        let lagging = self.logs.get(&publisher).map_or(0, |log| log.delivered);
+        if lagging < first - 1 {
             // Its own record has a hole: nobody else can fill it for the subscriber here.
             self.skip(now, publisher, first - 1, out);
         }
@@ -144,12 +144,12 @@
         let publishing = ready(&mut self.publishing, &payload)?;
         let (epoch, sequence) = (publishing.epoch, publishing.next);
         publishing.next += 1;
-        publishing.pending.insert((Line::Log, sequence), Pending { at: now, named: false });
-        let entry = Entry { epoch, sequence, kind, schema, payload, more: Vec::new() };
+        publishing.pending.insert((Channel::Log, sequence), Pending { at: now, named: false });
+        let entry = Entry { epoch, sequence, kind, schema, payload, extension: Vec::new() };
         let Some(log) = self.logs.get_mut(&publisher) else { return Err(PublishError::NotOpen) };
         log.insert(now, entry);
-        for child in self.overlay.branch(publisher).children() {
-            self.counters.given_up += self.outbox.push_entry(publisher, child.address, sequence);
+        for child in self.overlay.tree_view(publisher).children() {
+            self.counters.abandoned += self.outbox.push_entry(publisher, child.address, sequence);
         }
         self.deliver(now, publisher, out);
         Ok(sequence)
@@ -170,9 +170,9 @@
         *version += 1;
         let (epoch, version) = (publishing.epoch, *version);
         // A newer version takes the place of those before: nobody needs them any more.
-        publishing.pending.retain(|(line, _), _| *line != Line::State(kind));
-        publishing.pending.insert((Line::State(kind), version), Pending { at: now, named: false });
-        let entry = Entry { epoch, sequence: version, kind, schema, payload, more: Vec::new() };
+        publishing.pending.retain(|(channel, _), _| *channel != Channel::State(kind));
+        publishing.pending.insert((Channel::State(kind), version), Pending { at: now, named: false });
+        let entry = Entry { epoch, sequence: version, kind, schema, payload, extension: Vec::new() };
         let me = self.me.address;
         self.take_state(now, me, publisher, &entry, out);
         Ok(version)
@@ -199,7 +199,7 @@
 
     pub(super) fn look_at_acknowledgements(&mut self, now: Micros, out: &mut Vec<DisseminationOutput>) {
         let publisher = self.me.key;
-        let within = self.config.acknowledge_within.as_micros() as Micros;
+        let within = self.config.acknowledge_timeout.as_micros() as Micros;
         let view = self.overlay.set_hash();
         let Some(own) = &mut self.publishing else { return };
         if own.view.0 != view {
@@ -222,32 +222,33 @@
         let all = report.set_hash == self.overlay.set_hash()
             && report.nodes as usize == self.overlay.members().len();
         let Some(publishing) = &mut self.publishing else { return };
-        if let Line::State(kind) = report.line {
-            for by in &report.refused {
-                let new = publishing.refusals.insert((by.key, kind, by.version));
+        if let Channel::State(kind) = report.channel {
+            for refusal in &report.refusals {
+                let new = publishing.refusals.insert((refusal.key, kind, refusal.version));
                 if new {
-                    out.push(DisseminationOutput::Refused { kind, by: by.clone() });
+                    out.push(DisseminationOutput::StateRefused { kind, refusal: refusal.clone() });
                 }
             }
             while publishing.refusals.len() > MOST_REFUSALS {
                 publishing.refusals.pop_first();
             }
         }
-        let refused =
-            |sequence: u64| report.refusals > 0 || report.refused.iter().any(|by| by.version == sequence);
+        let refused = |sequence: u64| {
+            report.refusal_count > 0 || report.refusals.iter().any(|refusal| refusal.version == sequence)
+        };
         if !all || report.epoch != publishing.epoch {
             return;
         }
-        let line = report.line;
-        let pending = publishing.pending.range((line, 0)..=(line, report.through));
+        let channel = report.channel;
+        let pending = publishing.pending.range((channel, 0)..=(channel, report.through));
         let done: Vec<(u64, Pending)> = pending
-            .filter(|((_, sequence), _)| line == Line::Log || !refused(*sequence))
+            .filter(|((_, sequence), _)| channel == Channel::Log || !refused(*sequence))
             .map(|((_, sequence), pending)| (*sequence, *pending))
             .collect();
         for (sequence, pending) in done {
-            publishing.pending.remove(&(line, sequence));
-            let after = now.saturating_sub(pending.at);
-            out.push(DisseminationOutput::Acknowledged { line, sequence, after, nodes: report.nodes });
+            publishing.pending.remove(&(channel, sequence));
+            let elapsed = now.saturating_sub(pending.at);
+            out.push(DisseminationOutput::Acknowledged { channel, sequence, elapsed, nodes: report.nodes });
         }
     }
 
@@ -255,35 +256,36 @@
         let publisher = self.me.key;
         let Some(publishing) = &mut self.publishing else { return };
         let late = publishing.pending.iter().filter(|(_, pending)| publishing.is_late(now, pending, within));
-        let late: Vec<(Line, u64)> = late.map(|(key, _)| *key).collect();
+        let late: Vec<(Channel, u64)> = late.map(|(key, _)| *key).collect();
         for key in &late {
             if let Some(pending) = publishing.pending.get_mut(key) {
                 pending.named = true;
             }
         }
         let progress = self.progress(publisher);
-        for (line, sequence) in late {
-            let own = progress.iter().find(|(key, _)| key.line == line);
-            let key = LineKey { publisher, line };
-            let branch = self.overlay.branch(publisher);
+        for (channel, sequence) in late {
+            let own = progress.iter().find(|(key, _)| key.channel == channel);
+            let key = ChannelKey { publisher, channel };
+            let branch = self.overlay.tree_view(publisher);
             let present = branch.members.len();
-            let (mut lacking, nodes) = match own {
+            let (mut lagging, nodes) = match own {
                 Some((_, own)) if own.through >= sequence => {
                     let report = self.reports.gather(now, key, own, sequence, branch);
-                    let refusing: Vec<u64> = refusing(&report.refused, sequence).map(|by| by.key).collect();
-                    let nodes = report.nodes.saturating_sub(report.refusals);
-                    (named(&report.lacking, branch).chain(refusing).collect::<BTreeSet<u64>>(), nodes)
+                    let refusing: Vec<u64> =
+                        refusing(&report.refusals, sequence).map(|refusal| refusal.key).collect();
+                    let nodes = report.nodes.saturating_sub(report.refusal_count);
+                    (named(&report.lagging, branch).chain(refusing).collect::<BTreeSet<u64>>(), nodes)
                 }
                 // The publisher's own subscriber has not applied it.
                 _ => (branch.members.iter().map(|member| member.key).collect(), 0),
             };
             let missing = present.saturating_sub(nodes as usize);
-            while lacking.len() > MOST_NAMED {
-                lacking.pop_last();
+            while lagging.len() > MOST_NAMED {
+                lagging.pop_last();
             }
-            let unnamed = missing.saturating_sub(lacking.len()) as u32;
-            let lacking = lacking.into_iter().collect();
-            out.push(DisseminationOutput::Unacknowledged { line, sequence, nodes, lacking, unnamed });
+            let unlisted = missing.saturating_sub(lagging.len()) as u32;
+            let lagging = lagging.into_iter().collect();
+            out.push(DisseminationOutput::Unacknowledged { channel, sequence, nodes, lagging, unlisted });
         }
     }
 }
@@ -293,28 +295,28 @@
     payload: &[u8],
 ) -> Result<&'a mut Publishing, PublishError> {
     let publishing = publishing.as_mut().ok_or(PublishError::NotOpen)?;
-    if let Some(in_force) = publishing.fenced {
-        return Err(PublishError::Fenced { in_force });
+    if let Some(current_epoch) = publishing.fenced {
+        return Err(PublishError::Fenced { current_epoch });
     }
-    if payload.len() > LARGEST_PAYLOAD {
-        return Err(PublishError::TooLarge { found: payload.len() });
+    if payload.len() > MAX_PAYLOAD_BYTES {
+        return Err(PublishError::PayloadTooLarge { bytes: payload.len() });
     }
     match publishing.pending.len() {
-        pending if pending >= MOST_PENDING => Err(PublishError::Full(pending)),
+        pending if pending >= MOST_PENDING => Err(PublishError::TooManyPending(pending)),
         _ => Ok(publishing),
     }
 }
 
-fn refusing(refused: &[RefusedBy], version: u64) -> impl Iterator<Item = &RefusedBy> {
-    refused.iter().filter(move |by| by.version == version)
+fn refusing(refused: &[Refusal], version: u64) -> impl Iterator<Item = &Refusal> {
+    refused.iter().filter(move |refusal| refusal.version == version)
 }
 
 /// The keys of those that lack something: a branch stands for all below its first node.
-fn named<'a>(lacking: &'a [Lacking], branch: Branch<'a>) -> impl Iterator<Item = u64> + 'a {
-    lacking.iter().flat_map(move |lacking| {
-        let place = branch.members.iter().position(|member| member.key == lacking.key);
+fn named<'a>(lagging: &'a [LaggingNode], branch: TreeView<'a>) -> impl Iterator<Item = u64> + 'a {
+    lagging.iter().flat_map(move |lagging| {
+        let place = branch.members.iter().position(|member| member.key == lagging.key);
         let places = match place {
-            Some(place) if lacking.branch => branch.tree.below(place),
+            Some(place) if lagging.whole_subtree => branch.tree.subtree(place),
             Some(place) => vec![place],
             None => Vec::new(),
         };
--- a/src/peers/dissemination/receiving.rs
+++ b/src/peers/dissemination/receiving.rs
@@ -24,16 +24,16 @@
                 }
             }
             Message::State { publisher, entry } => self.take_state(now, from, publisher, &entry, out),
-            Message::Positions { logs, states, complete, hops, joining } => {
+            Message::Digest { logs, states, complete, hops, joining } => {
                 let asked = asking::Asked { logs, states, complete, hops };
                 self.answer(now, from, asked, out);
                 if joining && self.joining.is_none() {
                     let logs = self.logs.iter().filter(|(_, log)| log.based);
                     let logs = logs.map(|(&key, log)| log.position(key)).collect();
-                    self.outbox.small(TrafficClass::Log, from, Message::Welcome { logs });
+                    self.outbox.small(TrafficClass::Log, from, Message::JoinResponse { logs });
                 }
             }
-            Message::Welcome { logs } => self.welcome(now, logs, out),
+            Message::JoinResponse { logs } => self.welcome(now, logs, out),
             Message::Skip { publisher, epoch, first, through } => {
                 if self.goes_by(now, from, publisher, epoch, first, out) {
                     self.skip(now, publisher, through, out);
@@ -99,7 +99,7 @@
         entries: Vec<Entry>,
         out: &mut Vec<DisseminationOutput>,
     ) {
-        let branch = self.overlay.branch(publisher);
+        let branch = self.overlay.tree_view(publisher);
         let from_parent = branch.ancestors().next().is_some_and(|parent| parent.address == from);
         let children: Vec<SocketAddr> =
             branch.children().map(|child| child.address).filter(|address| *address != from).collect();
@@ -115,7 +115,7 @@
                 Inserted::New => {
                     useful = true;
                     for child in &children {
-                        self.counters.given_up += self.outbox.push_entry(publisher, *child, sequence);
+                        self.counters.abandoned += self.outbox.push_entry(publisher, *child, sequence);
                     }
                 }
                 Inserted::Duplicate => self.counters.duplicates += 1,
@@ -173,7 +173,7 @@
             }
             return;
         }
-        for child in self.overlay.branch(publisher).children().filter(|child| child.address != from) {
+        for child in self.overlay.tree_view(publisher).children().filter(|child| child.address != from) {
             self.outbox.push_state(now, child.address, key, STATE_COPIES);
         }
         out.push(DisseminationOutput::StateOffered { publisher, entry: entry.clone() });
--- a/src/peers/dissemination/reporting.rs
+++ b/src/peers/dissemination/reporting.rs
@@ -1,8 +1,8 @@
 //! Reporting up the tree what a branch has applied, and taking the reports of the nodes below.
 
 use super::super::{Micros, TrafficClass};
-use super::acknowledgement::LineKey;
-use super::message::{Line, Message, Report};
+use super::acknowledgement::ChannelKey;
+use super::message::{Channel, Message, Report};
 use super::overlay::Member;
 use super::state::StateKey;
 use super::{Dissemination, DisseminationOutput};
@@ -37,7 +37,7 @@
     /// When the first report was sent that the parent has not confirmed.
     unconfirmed_since: Option<Micros>,
     /// What this node itself had applied, and when.
-    history: BTreeMap<Line, VecDeque<(Micros, u64)>>,
+    history: BTreeMap<Channel, VecDeque<(Micros, u64)>>,
 }
 
 impl Reporting {
@@ -60,8 +60,8 @@
     }
 
     /// Notes what this node has applied; what it had [`LAG`] ago, which its branch is to have by now.
-    fn note(&mut self, now: Micros, line: Line, through: u64) -> u64 {
-        let history = self.history.entry(line).or_default();
+    fn note(&mut self, now: Micros, channel: Channel, through: u64) -> u64 {
+        let history = self.history.entry(channel).or_default();
         if history.back().is_some_and(|last| last.1 > through) {
             history.clear();
         }
@@ -109,7 +109,7 @@
 impl Dissemination {
     /// A node above has confirmed a report of this one.
     pub(super) fn take_confirmation(&mut self, now: Micros, from: SocketAddr, publisher: u64) {
-        let parent = self.overlay.branch(publisher).ancestors().next().copied();
+        let parent = self.overlay.tree_view(publisher).ancestors().next().copied();
         let Some(reporting) = self.reporting.get_mut(&publisher) else { return };
         match parent {
             Some(parent) if parent.address == from => reporting.confirmed(),
@@ -132,7 +132,7 @@
                 continue;
             }
             (reporting.changed, reporting.sent_at) = (false, now);
-            let parent = self.overlay.branch(publisher).ancestors().next();
+            let parent = self.overlay.tree_view(publisher).ancestors().next();
             let levels = reporting.levels(now, is_far(&self.me, parent));
             let reports = self.gather_all(now, publisher);
             if reports.is_empty() {
@@ -140,7 +140,7 @@
             }
             let above: Vec<SocketAddr> = self
                 .overlay
-                .branch(publisher)
+                .tree_view(publisher)
                 .ancestors()
                 .take(levels)
                 .map(|member| member.address)
@@ -162,8 +162,8 @@
     pub(super) fn gather_all(&mut self, now: Micros, publisher: u64) -> Vec<Report> {
         let mut found = Vec::new();
         for (key, own) in self.progress(publisher) {
-            let needed = self.reporting.entry(publisher).or_default().note(now, key.line, own.through);
-            let branch = self.overlay.branch(publisher);
+            let needed = self.reporting.entry(publisher).or_default().note(now, key.channel, own.through);
+            let branch = self.overlay.tree_view(publisher);
             found.push(self.reports.gather(now, key, &own, needed, branch));
         }
         found
@@ -174,20 +174,20 @@
         for report in reports {
             let publisher = report.publisher;
             // Only nodes below this one report to it.
-            let branch = self.overlay.branch(publisher);
+            let branch = self.overlay.tree_view(publisher);
             let below = branch
-                .place(from)
-                .is_some_and(|place| branch.tree.ancestors(place).any(|above| above == branch.own));
+                .index_of(from)
+                .is_some_and(|place| branch.tree.ancestors(place).any(|above| above == branch.own_index));
             if !below {
                 continue;
             }
             publishers.insert(publisher);
             self.note_report(from, &report);
-            let key = LineKey { publisher, line: report.line };
+            let key = ChannelKey { publisher, channel: report.channel };
             let before = self.reports.through(key, from);
             let moved = before != Some((report.epoch, report.through, report.set_hash));
             if !self.reports.insert(now, from, report) {
-                self.counters.given_up += 1;
+                self.counters.abandoned += 1;
             } else if moved {
                 self.reporting.entry(publisher).or_default().changed = true;
             }
@@ -202,13 +202,13 @@
     /// A branch whose nodes have all of a line up to some place needs no push of what came before.
     fn note_report(&mut self, from: SocketAddr, report: &Report) {
         let publisher = report.publisher;
-        match report.line {
-            Line::Log => {
+        match report.channel {
+            Channel::Log => {
                 if self.logs.get(&publisher).is_some_and(|log| log.epoch() == report.epoch) {
                     self.outbox.has(publisher, from, report.through);
                 }
             }
-            Line::State(kind) => {
+            Channel::State(kind) => {
                 let key = StateKey { publisher, kind };
                 let newest = self.states.get(key).map(|slot| (slot.newest.epoch, slot.newest.sequence));
                 if newest == Some((report.epoch, report.through)) {
--- a/src/peers/dissemination/sending.rs
+++ b/src/peers/dissemination/sending.rs
@@ -67,7 +67,7 @@
     pub retry_at: Option<Micros>,
     /// Where the round of children goes on.
     turn: usize,
-    given_up: u64,
+    abandoned: u64,
 }
 
 impl Outbox {
@@ -75,7 +75,7 @@
     pub fn small(&mut self, class: TrafficClass, to: SocketAddr, message: Message) {
         if self.small.len() >= MOST_SMALL {
             self.small.pop_front();
-            self.given_up += 1;
+            self.abandoned += 1;
         }
         self.small.push_back((class, to, message));
     }
@@ -91,7 +91,7 @@
         }
         if self.states.len() >= MOST_STATES {
             self.states.pop_front();
-            self.given_up += 1;
+            self.abandoned += 1;
         }
         self.states.push_back(StatePush { to, key, at: now, copies, repeats: false });
     }
@@ -172,8 +172,8 @@
         self.flush_small(now, budget, out);
         self.flush_pushes(now, budget, out);
         self.flush_repairs(now, budget, out);
-        self.counters.given_up += std::mem::take(&mut self.outbox.given_up);
-        self.counters.most_waiting = self.counters.most_waiting.max(self.outbox.waiting() as u64);
+        self.counters.abandoned += std::mem::take(&mut self.outbox.abandoned);
+        self.counters.max_queued = self.counters.max_queued.max(self.outbox.waiting() as u64);
     }
 
     fn flush_states(&mut self, now: Micros, budget: &mut ByteBudget, out: &mut Vec<DisseminationOutput>) {
@@ -238,8 +238,8 @@
         let Some(waiting) = self.outbox.pushes.get(&key) else { return Some(false) };
         let mut states = self.states.positions_of(publisher);
         states.truncate(MOST_TOLD);
-        let room = self.config.largest_datagram - HEADER;
-        let far = self.overlay.at(to).is_some_and(|child| !child.shares_region(&self.me));
+        let room = self.config.max_datagram_bytes - HEADER;
+        let far = self.overlay.member_at(to).is_some_and(|child| !child.shares_region(&self.me));
         // What is sent twice is paid as what is sent again: not from what entries on their first way need.
         let spare = |entry: &&Entry| budget.wait(now, TrafficClass::Repair, entry.size()) == Some(0);
         let repeated = waiting.front().filter(|_| far).and_then(|&first| log.recent_before(now, first));
@@ -313,7 +313,7 @@
             repair.position.delivered = through;
             return Some(true);
         }
-        let entries = entries_for(log, repair, self.config.largest_datagram - HEADER);
+        let entries = entries_for(log, repair, self.config.max_datagram_bytes - HEADER);
         let Some(last) = entries.last().map(|entry| entry.sequence) else { return Some(false) };
         let count = entries.len();
         let message = Message::Entries { publisher, epoch, first, entries, states: Vec::new() };
@@ -337,11 +337,11 @@
         out: &mut Vec<DisseminationOutput>,
     ) -> bool {
         let data = encode(self.cluster, message);
-        if data.len() > self.config.largest_datagram {
+        if data.len() > self.config.max_datagram_bytes {
             self.counters.oversized += 1;
             return true;
         }
-        let cost = data.len() + self.config.overhead;
+        let cost = data.len() + self.config.overhead_bytes;
         if !budget.try_take(now, class, cost) {
             let wait = budget.wait(now, class, cost).unwrap_or(LEAST_RETRY);
             self.outbox.retry(now + wait.max(LEAST_RETRY));
--- a/src/peers/dissemination/state.rs
+++ b/src/peers/dissemination/state.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It has not said yet.
-    Open,
+    Pending,
     /// It is in force.
-    InForce,
+    Applied,
     /// It was refused, for this reason; the last good one stays in force.
     Refused(String),
 }
@@ -28,7 +28,7 @@
     /// What became of it.
     pub verdict: Verdict,
     /// The version in force.
-    pub in_force: Option<Entry>,
+    pub applied: Option<Entry>,
 }
 
 /// Which publisher's state of which kind.
@@ -50,14 +50,14 @@
         if let Some(slot) = self.0.get_mut(&key) {
             let newer = (entry.epoch, entry.sequence) > (slot.newest.epoch, slot.newest.sequence);
             if newer {
-                (slot.newest, slot.at, slot.verdict) = (entry.clone(), now, Verdict::Open);
+                (slot.newest, slot.at, slot.verdict) = (entry.clone(), now, Verdict::Pending);
             }
             return newer;
         }
         if self.0.len() >= MOST_STATES {
             return false;
         }
-        let slot = Slot { newest: entry.clone(), at: now, verdict: Verdict::Open, in_force: None };
+        let slot = Slot { newest: entry.clone(), at: now, verdict: Verdict::Pending, applied: None };
         self.0.insert(key, slot);
         true
     }
@@ -68,8 +68,8 @@
         if (slot.newest.epoch, slot.newest.sequence) != (epoch, version) {
             return None;
         }
-        if verdict == Verdict::InForce {
-            slot.in_force = Some(slot.newest.clone());
+        if verdict == Verdict::Applied {
+            slot.applied = Some(slot.newest.clone());
         }
         slot.verdict = verdict;
         Some(slot)
--- a/src/peers/dissemination/tests.rs
+++ b/src/peers/dissemination/tests.rs
@@ -1,8 +1,8 @@
 //! The parts one by one, and two cores side by side.
 
-use super::acknowledgement::{LineKey, OwnProgress, Reports, FRESH};
+use super::acknowledgement::{ChannelKey, OwnProgress, Reports, FRESH};
 use super::log::{Inserted, Log, RETAINED};
-use super::message::{encode, Lacking, Line, LogPosition, Message, Report};
+use super::message::{encode, Channel, LaggingNode, LogPosition, Message, Report};
 use super::overlay::{mix, set_hash, Overlay, Tree, FANOUT};
 use super::state::{States, Verdict};
 use super::*;
@@ -19,7 +19,7 @@
 }
 
 fn entry(epoch: u64, sequence: u64) -> Entry {
-    Entry { epoch, sequence, kind: 0, schema: 1, payload: vec![sequence as u8; 10], more: Vec::new() }
+    Entry { epoch, sequence, kind: 0, schema: 1, payload: vec![sequence as u8; 10], extension: Vec::new() }
 }
 
 fn budget() -> ByteBudget {
@@ -32,7 +32,7 @@
         let members: Vec<Member> = (0..nodes).map(member).collect();
         let root = nodes / 2;
         let tree = Tree::new(&members, members[root].key, &BTreeSet::new());
-        assert_eq!(tree.below(root).len(), nodes);
+        assert_eq!(tree.subtree(root).len(), nodes);
         assert!((0..nodes).all(|node| tree.children(node).len() <= FANOUT + 1));
         let enters = |node: &usize| {
             tree.parent(*node).is_some_and(|parent| !members[parent].shares_region(&members[*node]))
@@ -52,8 +52,8 @@
     let key = member(7).key;
     for node in 0..200 {
         let parent = |overlay: &mut Overlay| {
-            let branch = overlay.branch(key);
-            let place = branch.place(member(node).address).unwrap();
+            let branch = overlay.tree_view(key);
+            let place = branch.index_of(member(node).address).unwrap();
             branch.tree.parent(place).map(|parent| branch.members[parent].address)
         };
         assert_eq!(parent(&mut one), parent(&mut two));
@@ -66,18 +66,18 @@
     let mut overlay = Overlay::new(member(0));
     (1..60).for_each(|node| overlay.insert(member(node)));
     let publisher = member(0).key;
-    let before = overlay.branch(publisher).tree.clone();
+    let before = overlay.tree_view(publisher).tree.clone();
     let members = overlay.members().to_vec();
     let relay = (0..60).find(|&place| !before.children(place).is_empty() && members[place].key != publisher);
     let relay = members[relay.unwrap()];
     overlay.suspect(&relay);
-    let branch = overlay.branch(publisher);
-    let place = branch.place(relay.address).unwrap();
+    let branch = overlay.tree_view(publisher);
+    let place = branch.index_of(relay.address).unwrap();
     assert!(branch.tree.children(place).is_empty() && branch.tree.parent(place).is_some());
-    let reached = branch.tree.below(branch.place(member(0).address).unwrap());
+    let reached = branch.tree.subtree(branch.index_of(member(0).address).unwrap());
     assert_eq!(reached.len(), 60, "all are reached, itself among them");
     overlay.insert(relay);
-    let after = overlay.branch(publisher).tree;
+    let after = overlay.tree_view(publisher).tree;
     assert!((0..60).all(|place| after.parent(place) == before.parent(place)), "as it was");
 }
 
@@ -88,9 +88,9 @@
     let lost: Vec<Member> =
         (1..260).map(member).filter(|other| other.location[1] == member(9).location[1]).collect();
     lost.iter().for_each(|member| overlay.suspect(member));
-    let branch = overlay.branch(member(0).key);
+    let branch = overlay.tree_view(member(0).key);
     for member in &lost {
-        let place = branch.place(member.address).unwrap();
+        let place = branch.index_of(member.address).unwrap();
         let children = branch.tree.children(place).iter().map(|&child| branch.members[child]);
         assert!(children.into_iter().all(|child| child.location[1] == member.location[1]));
     }
@@ -108,7 +108,7 @@
     let mut log = Log::new(0, 1, 1, 0, true);
     assert_eq!(log.insert(1, entry(1, 2)), Inserted::New);
     assert_eq!(log.deliver(1), None);
-    assert_eq!(log.position(7).holds, [(2, 2)]);
+    assert_eq!(log.position(7).held_ranges, [(2, 2)]);
     assert_eq!(log.insert(2, entry(1, 2)), Inserted::Duplicate);
     assert_eq!(log.insert(2, entry(1, 1)), Inserted::New);
     let delivered: Vec<u64> = std::iter::from_fn(|| log.deliver(2)).map(|entry| entry.sequence).collect();
@@ -146,7 +146,7 @@
         epoch: 1,
         first: 1,
         delivered,
-        holds: Vec::new(),
+        held_ranges: Vec::new(),
         stale,
     };
     assert_eq!(log.snapshot_for(&at(50, false)), Some(100));
@@ -176,12 +176,12 @@
     let mut states = States::default();
     let key = StateKey { publisher: 7, kind: 0 };
     assert!(states.offer(0, key, &entry(1, 1)));
-    assert!(states.decide(key, 1, 1, Verdict::InForce).is_some());
+    assert!(states.decide(key, 1, 1, Verdict::Applied).is_some());
     assert!(states.offer(0, key, &entry(1, 3)));
     assert!(!states.offer(0, key, &entry(1, 2)));
-    assert!(states.decide(key, 1, 2, Verdict::InForce).is_none());
+    assert!(states.decide(key, 1, 2, Verdict::Applied).is_none());
     assert!(states.decide(key, 1, 3, Verdict::Refused("no".to_owned())).is_some());
-    assert_eq!(states.get(key).unwrap().in_force.as_ref().unwrap().sequence, 1);
+    assert_eq!(states.get(key).unwrap().applied.as_ref().unwrap().sequence, 1);
     assert!(states.offer(0, key, &entry(2, 1)));
     assert!(!states.offer(0, key, &entry(1, 9)));
 }
@@ -189,7 +189,7 @@
 /// A publisher with 30 nodes, and what each child of its says of its branch.
 struct Gathering {
     overlay: Overlay,
-    key: LineKey,
+    key: ChannelKey,
     reports: Reports,
 }
 
@@ -197,31 +197,31 @@
     fn new() -> Self {
         let mut overlay = Overlay::new(member(0));
         (1..30).for_each(|node| overlay.insert(member(node)));
-        let key = LineKey { publisher: member(0).key, line: Line::Log };
+        let key = ChannelKey { publisher: member(0).key, channel: Channel::Log };
         Self { overlay, key, reports: Reports::default() }
     }
 
     fn children(&mut self) -> Vec<usize> {
-        let branch = self.overlay.branch(self.key.publisher);
-        branch.tree.children(branch.own).to_vec()
+        let branch = self.overlay.tree_view(self.key.publisher);
+        branch.tree.children(branch.own_index).to_vec()
     }
 
     /// A report on the branch at a place, as all nodes there have applied `through`.
     fn report(&mut self, now: Micros, place: usize, through: u64) {
-        let branch = self.overlay.branch(self.key.publisher);
+        let branch = self.overlay.tree_view(self.key.publisher);
         let below: Vec<&Member> =
-            branch.tree.below(place).into_iter().map(|place| &branch.members[place]).collect();
+            branch.tree.subtree(place).into_iter().map(|place| &branch.members[place]).collect();
         let report = Report {
             publisher: self.key.publisher,
-            line: Line::Log,
+            channel: Channel::Log,
             epoch: 1,
             through,
             nodes: below.len() as u32,
             set_hash: set_hash(below.iter().copied()),
-            lacking: Vec::new(),
-            lacking_more: false,
-            refused: Vec::new(),
-            refusals: 0,
+            lagging: Vec::new(),
+            lagging_truncated: false,
+            refusals: Vec::new(),
+            refusal_count: 0,
         };
         let from = branch.members[place].address;
         self.reports.insert(now, from, report);
@@ -229,7 +229,7 @@
 
     fn gather(&mut self, now: Micros, needed: u64) -> Report {
         let own = OwnProgress { epoch: 1, through: 9, refused: None };
-        let branch = self.overlay.branch(self.key.publisher);
+        let branch = self.overlay.tree_view(self.key.publisher);
         self.reports.gather(now, self.key, &own, needed, branch)
     }
 }
@@ -246,7 +246,7 @@
     let all = gathering.gather(0, 0);
     assert_eq!((all.nodes, all.through), (30, 8));
     assert_eq!(all.set_hash, gathering.overlay.set_hash());
-    assert_eq!(all.lacking, []);
+    assert_eq!(all.lagging, []);
 }
 
 #[test]
@@ -255,11 +255,11 @@
     let children = gathering.children();
     let last = *children.last().unwrap();
     children.iter().for_each(|&child| gathering.report(0, child, if child == last { 3 } else { 9 }));
-    let key = gathering.overlay.branch(gathering.key.publisher).members[last].key;
-    let below = gathering.overlay.branch(gathering.key.publisher).tree.below(last).len();
+    let key = gathering.overlay.tree_view(gathering.key.publisher).members[last].key;
+    let below = gathering.overlay.tree_view(gathering.key.publisher).tree.subtree(last).len();
     let report = gathering.gather(0, 5);
     assert_eq!(report.through, 9);
-    assert_eq!(report.lacking, [Lacking { key, branch: below > 1 }]);
+    assert_eq!(report.lagging, [LaggingNode { key, whole_subtree: below > 1 }]);
     assert_eq!(report.nodes as usize, 30 - below);
     assert_eq!(gathering.gather(FRESH, 0).nodes, 1);
 }
@@ -268,15 +268,15 @@
 fn those_below_a_silent_relay_speak_for_themselves() {
     let mut gathering = Gathering::new();
     let children = gathering.children();
-    let branch = gathering.overlay.branch(gathering.key.publisher);
-    let silent = *children.iter().max_by_key(|&&child| branch.tree.below(child).len()).unwrap();
+    let branch = gathering.overlay.tree_view(gathering.key.publisher);
+    let silent = *children.iter().max_by_key(|&&child| branch.tree.subtree(child).len()).unwrap();
     let grandchildren = branch.tree.children(silent).to_vec();
     let (key, id) = (branch.members[silent].key, branch.members[silent].id);
     children.iter().filter(|&&child| child != silent).for_each(|&child| gathering.report(0, child, 9));
     grandchildren.iter().for_each(|&child| gathering.report(0, child, 9));
     let report = gathering.gather(0, 0);
     assert_eq!(report.nodes, 29);
-    assert_eq!(report.lacking, [Lacking { key, branch: false }]);
+    assert_eq!(report.lagging, [LaggingNode { key, whole_subtree: false }]);
     assert_eq!(report.set_hash.wrapping_add(mix(id)), gathering.overlay.set_hash());
 }
 
@@ -329,7 +329,7 @@
             self.now += 10_000;
             for node in 0..2 {
                 let mut out = Vec::new();
-                self.cores[node].timers(self.now, &mut self.budgets[node], &mut out);
+                self.cores[node].run_timers(self.now, &mut self.budgets[node], &mut out);
                 self.carry_out(node, out);
             }
         }
@@ -384,7 +384,7 @@
     let mut pair = Pair::new();
     pair.run(3 * SECOND);
     pair.open(1, 1).unwrap();
-    assert_eq!(pair.publish(vec![1; LARGEST_PAYLOAD]), Ok(1));
+    assert_eq!(pair.publish(vec![1; MAX_PAYLOAD_BYTES]), Ok(1));
     pair.run(SECOND);
     let delivered = |node: usize| {
         let of = |told: &&(usize, DisseminationOutput)| {
@@ -423,20 +423,20 @@
     assert_eq!(pair.publish(vec![1]), Err(PublishError::NotOpen));
     assert_eq!(pair.open(1, 0), Err(PublishError::ZeroSequence));
     pair.open(4, 1).unwrap();
-    assert_eq!(pair.open(4, 1), Err(PublishError::Fenced { in_force: 4 }));
-    let found = LARGEST_PAYLOAD + 1;
-    assert_eq!(pair.publish(vec![1; found]), Err(PublishError::TooLarge { found }));
+    assert_eq!(pair.open(4, 1), Err(PublishError::Fenced { current_epoch: 4 }));
+    let bytes = MAX_PAYLOAD_BYTES + 1;
+    assert_eq!(pair.publish(vec![1; bytes]), Err(PublishError::PayloadTooLarge { bytes }));
     // Nobody answers: what waits for its acknowledgement is bounded.
     pair.cores[1] = Dissemination::new(DisseminationConfig::default(), member(1), 1, 0);
     let published = (0..5_000).map(|_| pair.publish(vec![1])).find_map(Result::err);
-    assert_eq!(published, Some(PublishError::Full(1_024)));
+    assert_eq!(published, Some(PublishError::TooManyPending(1_024)));
 }
 
 #[test]
 fn what_a_later_version_adds_to_an_entry_is_carried() {
     let mut pair = Pair::new();
     pair.run(3 * SECOND);
-    let later = Entry { schema: 77, more: vec![5; 20], ..entry(1, 1) };
+    let later = Entry { schema: 77, extension: vec![5; 20], ..entry(1, 1) };
     let publisher = member(5).key;
     let entries =
         Message::Entries { publisher, epoch: 1, first: 1, entries: vec![later.clone()], states: Vec::new() };
--- a/src/peers/joined.rs
+++ b/src/peers/joined.rs
@@ -44,9 +44,9 @@
                     Standing::Present => self.present(peer),
                     Standing::Suspected if !peer.observer => self.core.member_suspected(member(peer)),
                     Standing::Suspected => {}
-                    Standing::Left | Standing::Lost => self.core.member_gone(&member(peer)),
+                    Standing::Left | Standing::Lost => self.core.member_removed(&member(peer)),
                 },
-                Output::CameBack => self.core.renewed(member(me)),
+                Output::CameBack => self.core.rejoined(member(me)),
                 _ => {}
             }
         }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -87,7 +87,7 @@
 
     /// When it wants to be called next.
     pub fn next(&self) -> Option<Micros> {
-        let joined = self.joined.as_ref().map(|joined| joined.core.next());
+        let joined = self.joined.as_ref().map(|joined| joined.core.next_timeout());
         self.membership.next().into_iter().chain(joined).min()
     }
 
@@ -248,9 +248,9 @@
             self.joined = None;
         }
         let Some(joined) = &mut self.joined else { return };
-        if now >= joined.core.next() {
+        if now >= joined.core.next_timeout() {
             let mut told = Vec::new();
-            joined.core.timers(now, &mut joined.budget, &mut told);
+            joined.core.run_timers(now, &mut joined.budget, &mut told);
             self.tell(told, out);
         }
     }
