--- a/src/peers/joined.rs
+++ b/src/peers/joined.rs
@@ -44,9 +44,9 @@
                     PeerStatus::Present => self.present(peer),
                     PeerStatus::Suspected if !peer.observer => self.core.member_suspected(member(peer)),
                     PeerStatus::Suspected => {}
-                    PeerStatus::Left | PeerStatus::Lost => self.core.member_gone(&member(peer)),
+                    PeerStatus::Left | PeerStatus::Lost => self.core.member_removed(&member(peer)),
                 },
-                Output::Rejoined => self.core.renewed(member(me)),
+                Output::Rejoined => self.core.rejoined(member(me)),
                 _ => {}
             }
         }
