--- a/interposer/src/calls.rs
+++ b/interposer/src/calls.rs
@@ -1,11 +1,11 @@
-//! The functions that stand in front of the C library's. Each has the signature and the contract of its manual page.
+//! The functions that interpose those of the C library. Each has the signature and the contract of its manual page.
 //!
-//! Safety, for all of them: the caller keeps the C function's contract, and the arguments are handed on as they are,
-//! but for a length that only becomes smaller.
+//! Safety, for all of them: the caller keeps the C function's contract, and the arguments are passed on unchanged, except
+//! for a length, which is only ever reduced.
 
 use crate::real;
 use crate::rules::Call;
-use crate::state::{fate, wall_clock_step, Fate};
+use crate::state::{draw_outcome, wall_clock_offset_ms, Outcome};
 use libc::{c_int, c_void, clockid_t, iovec, sockaddr, socklen_t, ssize_t, timespec};
 
 const NANOSECONDS: i64 = 1_000_000_000;
@@ -17,7 +17,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if domain == libc::AF_INET {
-        if let Fate::Fails(error) = fate(Call::Socket) {
+        if let Outcome::Fails(error) = draw_outcome(Call::Socket) {
             return real::fail(error);
         }
     }
@@ -31,14 +31,14 @@
 /// As the module says.
 #[no_mangle]
 pub unsafe extern "C" fn bind(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    match fate(Call::Bind) {
-        Fate::Fails(error) if real::is_ipv4(fd) => real::fail(error),
+    match draw_outcome(Call::Bind) {
+        Outcome::Fails(error) if real::is_ipv4(fd) => real::fail(error),
         // SAFETY: as the module says.
         _ => unsafe { real::bind(fd, address, length) },
     }
 }
 
-/// See `accept4(2)`. Where the connection is aborted it is gone, else it stays in the queue.
+/// See `accept4(2)`. After an injected error the connection stays in the queue.
 ///
 /// # Safety
 /// As the module says.
@@ -49,8 +49,8 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    match fate(Call::Accept) {
-        Fate::Fails(error) if real::is_ipv4(fd) => real::fail(error),
+    match draw_outcome(Call::Accept) {
+        Outcome::Fails(error) if real::is_ipv4(fd) => real::fail(error),
         // SAFETY: as the module says.
         _ => unsafe { real::accept4(fd, address, length, flags) },
     }
@@ -62,8 +62,8 @@
 /// As the module says.
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    match fate(Call::Connect) {
-        Fate::Fails(error) if real::is_ipv4(fd) => real::fail(error),
+    match draw_outcome(Call::Connect) {
+        Outcome::Fails(error) if real::is_ipv4(fd) => real::fail(error),
         // SAFETY: as the module says.
         _ => unsafe { real::connect(fd, address, length) },
     }
@@ -75,9 +75,9 @@
 /// As the module says.
 #[no_mangle]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: usize, flags: c_int) -> ssize_t {
-    let length = match fate(Call::Recv) {
-        Fate::Fails(error) if real::is_ipv4(fd) => return real::fail(error) as ssize_t,
-        Fate::Short(most) if real::is_ipv4(fd) => length.min(most),
+    let length = match draw_outcome(Call::Recv) {
+        Outcome::Fails(error) if real::is_ipv4(fd) => return real::fail(error) as ssize_t,
+        Outcome::Short(max_bytes) if real::is_ipv4(fd) => length.min(max_bytes),
         _ => length,
     };
     // SAFETY: as the module says.
@@ -90,27 +90,27 @@
 /// As the module says.
 #[no_mangle]
 pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, length: usize, flags: c_int) -> ssize_t {
-    let length = match fate(Call::Send) {
-        Fate::Fails(error) if real::is_ipv4(fd) => return real::fail(error) as ssize_t,
-        Fate::Short(most) if real::is_ipv4(fd) => length.min(most),
+    let length = match draw_outcome(Call::Send) {
+        Outcome::Fails(error) if real::is_ipv4(fd) => return real::fail(error) as ssize_t,
+        Outcome::Short(max_bytes) if real::is_ipv4(fd) => length.min(max_bytes),
         _ => length,
     };
     // SAFETY: as the module says.
     unsafe { real::send(fd, buffer, length, flags) }
 }
 
-/// See `writev(2)`. A short one writes of the first part alone.
+/// See `writev(2)`. A short write takes bytes of the first part only.
 ///
 /// # Safety
 /// As the module says.
 #[no_mangle]
 pub unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    match fate(Call::Send) {
-        Fate::Fails(error) if real::is_ipv4(fd) => real::fail(error) as ssize_t,
-        Fate::Short(most) if count > 0 && real::is_ipv4(fd) => {
-            // SAFETY: `count` parts are there by the function's contract, and it is at least one.
+    match draw_outcome(Call::Send) {
+        Outcome::Fails(error) if real::is_ipv4(fd) => real::fail(error) as ssize_t,
+        Outcome::Short(max_bytes) if count > 0 && real::is_ipv4(fd) => {
+            // SAFETY: by the function's contract there are `count` parts, and `count` is at least one.
             let mut first = unsafe { *parts };
-            first.iov_len = first.iov_len.min(most);
+            first.iov_len = first.iov_len.min(max_bytes);
             // SAFETY: `first` is a valid part, no longer than the caller's.
             unsafe { real::writev(fd, &first, 1) }
         }
@@ -127,17 +127,17 @@
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
     events: *mut libc::epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    match fate(Call::Wait) {
-        Fate::Fails(error) => real::fail(error),
+    match draw_outcome(Call::Wait) {
+        Outcome::Fails(error) => real::fail(error),
         // SAFETY: as the module says.
-        _ => unsafe { real::epoll_wait(fd, events, most, timeout) },
+        _ => unsafe { real::epoll_wait(fd, events, max_events, timeout) },
     }
 }
 
-/// See `clock_gettime(2)`. Only the wall clock is stepped.
+/// See `clock_gettime(2)`. Only the wall clock is stepped, the coarse one included.
 ///
 /// # Safety
 /// As the module says.
@@ -146,10 +146,10 @@
     // SAFETY: as the module says.
     let got = unsafe { real::clock_gettime(clock, time) };
     if got == 0 && matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE) {
-        // SAFETY: the call has succeeded, so that `time` is valid.
+        // SAFETY: the call has succeeded, so `time` is valid.
         let time = unsafe { &mut *time };
-        let nanoseconds = time.tv_nsec + wall_clock_step() % 1_000 * 1_000_000;
-        time.tv_sec += wall_clock_step() / 1_000 + nanoseconds.div_euclid(NANOSECONDS);
+        let nanoseconds = time.tv_nsec + wall_clock_offset_ms() % 1_000 * 1_000_000;
+        time.tv_sec += wall_clock_offset_ms() / 1_000 + nanoseconds.div_euclid(NANOSECONDS);
         time.tv_nsec = nanoseconds.rem_euclid(NANOSECONDS);
     }
     got
--- a/interposer/src/draws.rs
+++ b/interposer/src/draws.rs
@@ -1,14 +1,14 @@
-//! Draws by number: the n-th call of a kind gets the same draw in each run with the same seed.
+//! Random draws by number: the n-th draw is the same in every run with the same seed.
 
-/// A draw from 0 to 1.
+/// A uniform draw from 0 to 1.
 pub fn unit(seed: u64, number: u64) -> f64 {
     // The upper 53 bits fill a double's mantissa.
     (mix(seed, number) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A draw from 1 to `most`.
-pub fn up_to(seed: u64, number: u64, most: usize) -> usize {
-    1 + (mix(seed.rotate_left(32), number) % most.max(1) as u64) as usize
+/// A uniform draw from 1 to `max`.
+pub fn from_one_to(seed: u64, number: u64, max: usize) -> usize {
+    1 + (mix(seed.rotate_left(32), number) % max.max(1) as u64) as usize
 }
 
 /// SplitMix64 (Steele, Lea, Flood, "Fast Splittable Pseudorandom Number Generators", 2014).
--- a/interposer/src/rules.rs
+++ b/interposer/src/rules.rs
@@ -1,13 +1,14 @@
-//! What is to go wrong: rules in a text, such as `recv=short:0.5; connect=ENOBUFS:0.3@0..2000; clock=3600000@500..`.
+//! The fault rules and their grammar, such as `recv=short:0.5; connect=ENOBUFS:0.3@0..2000; clock=3600000@500..`.
 //!
-//! A rule is `CALL=EFFECT:SHARE@FROM..TO`. The share is of the calls, 1 if it is missing. The times are milliseconds
-//! from the process's start; without them a rule holds throughout. The effect is `short`, or an error's name as the
-//! manual page of the call has it. For `clock` it is the step of the wall clock in milliseconds, and has no share.
+//! A rule is `CALL=EFFECT:SHARE@FROM..TO`. SHARE is the fraction of the calls that are affected, 1 by default. FROM and TO
+//! are milliseconds since the start of the process; without them a rule always applies. EFFECT is `short` or the name of
+//! an error as in the manual page of the call. For `clock` it is the offset of the wall clock in milliseconds, without a
+//! share.
 
 use std::ops::Range;
 use thiserror::Error;
 
-/// The calls that can be made to go wrong.
+/// The calls into which faults can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// `socket`
@@ -28,33 +29,33 @@
     Clock,
 }
 
-/// What happens to a call.
+/// The effect of a rule on a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
     /// It fails with this error number.
     Fails(i32),
-    /// It moves a few bytes, though more could be moved.
+    /// It transfers a few bytes, though more could be transferred.
     Short,
-    /// The wall clock is off by so many milliseconds.
+    /// The wall clock is offset by this number of milliseconds.
     Step(i64),
 }
 
-/// One thing that goes wrong.
+/// One fault rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// Where.
+    /// The affected call.
     pub call: Call,
-    /// How.
+    /// The injected fault.
     pub effect: Effect,
-    /// Of the calls, from 0 to 1.
+    /// The fraction of the calls that are affected, from 0 to 1.
     pub share: f64,
-    /// When, in milliseconds from the process's start.
+    /// When the rule applies, in milliseconds since the start of the process.
     pub during: Range<u64>,
 }
 
-/// What is wrong with a rule's text.
+/// An error in the text of a rule.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("rule {rule:?}: {found:?} is no {expected}")]
+#[error("rule {rule:?}: found {found:?}, expected {expected}")]
 pub struct RuleError {
     rule: String,
     found: String,
@@ -91,47 +92,49 @@
     ("ETIMEDOUT", libc::ETIMEDOUT),
 ];
 
-/// Reads all rules of a text, or says what is wrong with each that cannot be read.
+/// Parses all rules of a text, or returns an error for each invalid one.
 pub fn parse(text: &str) -> Result<Vec<Rule>, Vec<RuleError>> {
     let texts = text.split(';').map(str::trim).filter(|rule| !rule.is_empty());
-    let (rules, faults): (Vec<_>, Vec<_>) = texts.map(parse_rule).partition(Result::is_ok);
-    if faults.is_empty() {
+    let (rules, errors): (Vec<_>, Vec<_>) = texts.map(parse_rule).partition(Result::is_ok);
+    if errors.is_empty() {
         Ok(rules.into_iter().flatten().collect())
     } else {
-        Err(faults.into_iter().filter_map(Result::err).collect())
+        Err(errors.into_iter().filter_map(Result::err).collect())
     }
 }
 
 fn parse_rule(text: &str) -> Result<Rule, RuleError> {
-    let fault =
+    let error =
         |found: &str, expected| RuleError { rule: text.to_owned(), found: found.to_owned(), expected };
-    let (call, rest) = text.split_once('=').ok_or_else(|| fault(text, "CALL=EFFECT"))?;
-    let call = named(&CALLS, call).ok_or_else(|| fault(call, "call that can go wrong"))?;
-    let (what, during) = match rest.split_once('@') {
-        Some((what, span)) => (what, parse_span(span).ok_or_else(|| fault(span, "span FROM..TO"))?),
+    let (call, rest) = text.split_once('=').ok_or_else(|| error(text, "CALL=EFFECT"))?;
+    let call = lookup(&CALLS, call).ok_or_else(|| error(call, "the name of a call"))?;
+    let (effect_and_share, during) = match rest.split_once('@') {
+        Some((rest, range)) => {
+            (rest, parse_time_range(range).ok_or_else(|| error(range, "a time range FROM..TO"))?)
+        }
         None => (rest, 0..u64::MAX),
     };
-    let (effect, share) = match what.split_once(':') {
+    let (effect, share) = match effect_and_share.split_once(':') {
         Some((effect, share)) => {
-            let read = share.parse().ok().filter(|share| (0.0..=1.0).contains(share));
-            (effect, read.ok_or_else(|| fault(share, "share from 0 to 1"))?)
+            let parsed = share.parse().ok().filter(|share| (0.0..=1.0).contains(share));
+            (effect, parsed.ok_or_else(|| error(share, "a share from 0 to 1"))?)
         }
-        None => (what, 1.0),
+        None => (effect_and_share, 1.0),
     };
     let effect = match (call, effect) {
-        (Call::Clock, step) => step.parse().ok().map(Effect::Step),
+        (Call::Clock, offset_ms) => offset_ms.parse().ok().map(Effect::Step),
         (Call::Recv | Call::Send, "short") => Some(Effect::Short),
-        (_, name) => named(&ERRORS, name).map(Effect::Fails),
+        (_, name) => lookup(&ERRORS, name).map(Effect::Fails),
     }
-    .ok_or_else(|| fault(effect, "effect of that call"))?;
+    .ok_or_else(|| error(effect, "an effect that applies to the call"))?;
     Ok(Rule { call, effect, share, during })
 }
 
-fn named<T: Copy>(names: &[(&str, T)], name: &str) -> Option<T> {
+fn lookup<T: Copy>(names: &[(&str, T)], name: &str) -> Option<T> {
     names.iter().find(|(known, _)| *known == name).map(|(_, value)| *value)
 }
 
-fn parse_span(text: &str) -> Option<Range<u64>> {
+fn parse_time_range(text: &str) -> Option<Range<u64>> {
     let (from, to) = text.split_once("..")?;
     let to = if to.is_empty() { u64::MAX } else { to.parse().ok()? };
     Some(from.parse().ok()?..to)
--- a/interposer/src/rules/tests.rs
+++ b/interposer/src/rules/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_rule_has_a_call_an_effect_a_share_and_a_span() {
+fn a_rule_is_parsed_into_its_call_effect_share_and_time_range() {
     let rules =
         parse("recv=short:0.5; connect=ENOBUFS:0.3@0..2000;clock=-3600000@500..; wait=EINTR").unwrap();
     let rule = |call, effect, share, during| Rule { call, effect, share, during };
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_once() {
-    let faults = parse("recv; open=EIO; connect=short; send=short:1.5; accept=EMFILE@5").unwrap_err();
-    let found: Vec<_> = faults.iter().map(|fault| fault.found.as_str()).collect();
+fn errors_in_all_rules_are_reported_at_once() {
+    let errors = parse("recv; open=EIO; connect=short; send=short:1.5; accept=EMFILE@5").unwrap_err();
+    let found: Vec<_> = errors.iter().map(|error| error.found.as_str()).collect();
     assert_eq!(found, ["recv", "open", "short", "1.5", "5"]);
 }
--- a/interposer/src/state.rs
+++ b/interposer/src/state.rs
@@ -1,4 +1,4 @@
-//! The rules in force in this process, and how far each call's draws have come.
+//! The rules of this process and the number of random draws so far.
 
 use crate::draws;
 use crate::real;
@@ -6,23 +6,23 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// The most bytes that a short call moves.
-const SHORT_MOST: usize = 48;
+/// The maximum number of bytes that a short call transfers.
+const MAX_SHORT_BYTES: usize = 48;
 
 struct State {
     rules: Vec<Rule>,
     seed: u64,
     start_ms: u64,
-    drawn: AtomicU64,
+    draws: AtomicU64,
 }
 
-/// What becomes of one call.
-pub enum Fate {
-    /// It goes through.
+/// The outcome of one call.
+pub enum Outcome {
+    /// It is passed on unchanged.
     Passes,
     /// It fails with this error number.
     Fails(i32),
-    /// It moves at most so many bytes.
+    /// It transfers at most this number of bytes.
     Short(usize),
 }
 
@@ -34,43 +34,43 @@
             for fault in &faults {
                 eprintln!("interposer: {fault}");
             }
-            // A play with half of its faults would pass for a whole one.
+            // A run without some of its faults would look like a complete one.
             std::process::abort()
         });
         let seed = variable("INTERPOSER_SEED").parse().unwrap_or(1);
-        State { rules, seed, start_ms: real::monotonic_ms(), drawn: AtomicU64::new(0) }
+        State { rules, seed, start_ms: real::monotonic_ms(), draws: AtomicU64::new(0) }
     })
 }
 
 impl State {
-    fn in_force(&self, call: Call) -> impl Iterator<Item = &Rule> {
+    fn active_rules(&self, call: Call) -> impl Iterator<Item = &Rule> {
         let now = real::monotonic_ms().saturating_sub(self.start_ms);
         self.rules.iter().filter(move |rule| rule.call == call && rule.during.contains(&now))
     }
 }
 
-/// Draws what becomes of a call.
-pub fn fate(call: Call) -> Fate {
+/// Draws the outcome of a call.
+pub fn draw_outcome(call: Call) -> Outcome {
     let state = state();
-    for rule in state.in_force(call) {
-        let number = state.drawn.fetch_add(1, Ordering::Relaxed);
+    for rule in state.active_rules(call) {
+        let number = state.draws.fetch_add(1, Ordering::Relaxed);
         if draws::unit(state.seed, number) >= rule.share {
             continue;
         }
         match rule.effect {
-            Effect::Fails(error) => return Fate::Fails(error),
-            Effect::Short => return Fate::Short(draws::up_to(state.seed, number, SHORT_MOST)),
+            Effect::Fails(error) => return Outcome::Fails(error),
+            Effect::Short => return Outcome::Short(draws::from_one_to(state.seed, number, MAX_SHORT_BYTES)),
             Effect::Step(_) => {}
         }
     }
-    Fate::Passes
+    Outcome::Passes
 }
 
-/// By how many milliseconds the wall clock is off now.
-pub fn wall_clock_step() -> i64 {
-    let steps = state().in_force(Call::Clock).map(|rule| match rule.effect {
-        Effect::Step(step) => step,
+/// The current offset of the wall clock in milliseconds.
+pub fn wall_clock_offset_ms() -> i64 {
+    let offsets = state().active_rules(Call::Clock).map(|rule| match rule.effect {
+        Effect::Step(offset_ms) => offset_ms,
         Effect::Fails(_) | Effect::Short => 0,
     });
-    steps.sum()
+    offsets.sum()
 }
