--- a/interposer/tests/soak.rs
+++ b/interposer/tests/soak.rs
@@ -1,6 +1,7 @@
-//! A soak: a node on loopback sockets under faults drawn from a seed, judged by what clients, servers and discovery saw.
+//! Soak test: a node on loopback sockets under faults drawn from a seed, judged by what clients, servers and discovery
+//! observed.
 //!
-//! A short one runs with the tests. A long one is started by hand, with a range of seeds:
+//! A few seeds run with the other tests. A long soak is started by hand, with a range of seeds:
 //! `WALKPICK_SOAK=1000..1050 cargo test --release -p walkpick-interposer --test soak -- --nocapture` (build the workspace
 //! in the same profile first).
 
@@ -11,10 +12,10 @@
 mod clients;
 #[path = "soak/judges.rs"]
 mod judges;
-#[path = "soak/play.rs"]
-mod play;
 #[path = "soak/record.rs"]
 mod record;
+#[path = "soak/run.rs"]
+mod run;
 #[path = "soak/schedule.rs"]
 mod schedule;
 
@@ -24,67 +25,67 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// The seeds that run with the tests.
-const SHORT: Range<u64> = 1..9;
-/// Plays side by side.
+/// The seeds that run with the other tests.
+const DEFAULT_SEEDS: Range<u64> = 1..9;
+/// Runs in parallel.
 const JOBS: usize = 4;
-/// A play on a machine that ran late is void, and played again at the end, so often.
-const PLAYS: usize = 3;
+/// A run with a broken rule and a large scheduling delay is void and repeated at the end, up to this number of runs.
+const MAX_RUNS: usize = 3;
 
 fn seeds() -> Range<u64> {
-    let Ok(text) = std::env::var("WALKPICK_SOAK") else { return SHORT };
+    let Ok(text) = std::env::var("WALKPICK_SOAK") else { return DEFAULT_SEEDS };
     let (from, to) = text.split_once("..").expect("WALKPICK_SOAK is FROM..TO");
-    from.parse().expect("a first seed")..to.parse().expect("a seed past the last")
+    from.parse().expect("the first seed is a number")..to.parse().expect("the end of the seeds is a number")
 }
 
-/// What became of a seed.
+/// The result of one run.
 enum Verdict {
-    Kept,
+    Passed,
     Void,
     Broken(String),
 }
 
 fn judge(seed: u64) -> Verdict {
     let schedule = Schedule::draw(seed);
-    let played = play::play(&schedule);
-    let broken = judges::judge(&schedule, &played);
-    println!("seed {seed}: {}; {}", schedule.summary(), played.summary());
+    let outcome = run::run(&schedule);
+    let broken = judges::judge(&schedule, &outcome);
+    println!("seed {seed}: {}; {}", schedule.summary(), outcome.summary());
     if broken.is_empty() {
-        return Verdict::Kept;
+        return Verdict::Passed;
     }
-    if played.machine_late() {
-        println!("seed {seed}: void, the machine was late: {broken:#?}");
+    if outcome.has_large_delay() {
+        println!("seed {seed}: void because of the scheduling delay: {broken:#?}");
         return Verdict::Void;
     }
-    Verdict::Broken(format!("seed {seed}: {broken:#?}\n{schedule:#?}\n{}", played.log))
+    Verdict::Broken(format!("seed {seed}: {broken:#?}\n{schedule:#?}\n{}", outcome.log))
 }
 
-// Guards against combinations of faults that no other test thought of.
+// Guards against combinations of faults that no other test covers.
 #[test]
 fn no_rule_is_broken_under_drawn_faults() {
     let queue: Arc<Mutex<VecDeque<_>>> = Arc::new(Mutex::new(seeds().map(|seed| (seed, 1)).collect()));
     let broken: Arc<Mutex<Vec<String>>> = Arc::default();
-    let (voids, kept) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(0)));
+    let (voids, passed) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(0)));
     let jobs: Vec<_> = (0..JOBS)
         .map(|_| {
             let (queue, broken) = (queue.clone(), broken.clone());
-            let (voids, kept) = (voids.clone(), kept.clone());
+            let (voids, passed) = (voids.clone(), passed.clone());
             thread::spawn(move || loop {
-                let Some((seed, plays)) = queue.lock().unwrap().pop_front() else { return };
+                let Some((seed, runs)) = queue.lock().unwrap().pop_front() else { return };
                 match judge(seed) {
-                    Verdict::Kept => *kept.lock().unwrap() += 1,
-                    Verdict::Void if plays < PLAYS => queue.lock().unwrap().push_back((seed, plays + 1)),
+                    Verdict::Passed => *passed.lock().unwrap() += 1,
+                    Verdict::Void if runs < MAX_RUNS => queue.lock().unwrap().push_back((seed, runs + 1)),
                     Verdict::Void => voids.lock().unwrap().push(seed),
-                    Verdict::Broken(how) => broken.lock().unwrap().push(how),
+                    Verdict::Broken(report) => broken.lock().unwrap().push(report),
                 }
             })
         })
         .collect();
     for job in jobs {
-        job.join().expect("a job that ends");
+        job.join().expect("the job ends");
     }
     let (broken, voids) = (broken.lock().unwrap(), voids.lock().unwrap());
-    println!("{} seeds kept the rules, {} broke one, void: {voids:?}", kept.lock().unwrap(), broken.len());
+    println!("{} seeds passed, {} broke a rule, void: {voids:?}", passed.lock().unwrap(), broken.len());
     assert!(broken.is_empty(), "{}", broken.join("\n\n"));
-    assert!(voids.is_empty(), "the machine was too late for seeds {voids:?}, {PLAYS} plays each");
+    assert!(voids.is_empty(), "scheduling delays voided seeds {voids:?}, {MAX_RUNS} runs each");
 }
--- a/interposer/tests/soak/record.rs
+++ b/interposer/tests/soak/record.rs
@@ -1,49 +1,49 @@
-//! What clients and servers saw of each request, by its id.
+//! What clients and servers observed of each request, by its id.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How a client's wait for an answer ended.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientEnd {
-    /// The status of a whole answer.
+    /// A complete response with this status.
     Answered(u16),
-    /// The body is not what a server made for it.
-    WrongAnswer,
-    /// The connection ended without a whole answer.
+    /// A response whose body is not that of its request.
+    WrongResponse,
+    /// The node closed the connection without a complete response.
     Closed,
-    /// Nothing came.
-    Nothing,
-    /// The client closed its connection.
-    Left,
+    /// No response before the read timeout.
+    NoResponse,
+    /// The client closed the connection before a response.
+    Disconnected,
 }
 
-/// One request, as its client and the servers saw it.
+/// One request, as observed by its client and the servers.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub unsafe_class: bool,
-    pub patience: Duration,
-    /// Its last byte was written.
+    pub deadline: Duration,
+    /// When the client sent it.
     pub sent: Instant,
-    /// It is the first on its connection.
+    /// Whether it is the first on its connection.
     pub fresh: bool,
     pub end: Option<(ClientEnd, Instant)>,
     pub arrivals: Vec<Arrival>,
 }
 
-/// A request at a server.
+/// The arrival of a request at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub server: usize,
     pub at: Instant,
-    /// The time that the node told.
+    /// The remaining time that the node stated.
     pub deadline: Option<Duration>,
-    /// The server turned it away: it has not run.
+    /// Whether the server declined it: then it has not run.
     pub declined: bool,
 }
 
-/// All requests of a play.
+/// All requests of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Record(Arc<Mutex<HashMap<u64, Request>>>);
 
--- a/interposer/tests/soak/run.rs
+++ b/interposer/tests/soak/run.rs
@@ -1,10 +1,12 @@
-//! One play: a node, its servers, its agents, its clients, and the schedule's events in their order.
+//! One run of the soak: a node with its servers, discovery agents and clients, and the events of the schedule.
 
-use crate::clients::{self, value_of, Phases, Setting};
+use crate::clients::{self, value_of, Context, Phases};
 use crate::node_common::agent::Agent;
-use crate::node_common::{answer, command, pushed, with_deadlines, CacheServer, Does, Message, Node};
+use crate::node_common::{
+    command, http_response, push_config, with_deadlines, CacheServer, Message, Node, Reaction,
+};
 use crate::record::{Arrival, Record};
-use crate::schedule::{DiscoveryEvent, DrainMoment, Habit, Schedule};
+use crate::schedule::{Behaviour, DiscoveryEvent, DrainMoment, Schedule};
 use fastrand::Rng;
 use serde_json::{json, Value};
 use std::process::Command;
@@ -13,48 +15,47 @@
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
 
-/// The kill comes this long after SIGTERM, on top of the longest deadline.
+/// The time from SIGTERM to the kill, in addition to the longest deadline.
 const BEFORE_KILL: Duration = Duration::from_millis(700);
-/// What a watch that fell silent misses counts as told then, whether or not it arrived.
-const TOLD_AFTER_SILENCE: Duration = Duration::from_secs(6);
-/// After SIGHUP a change counts as told then.
-const TOLD_AFTER_SIGHUP: Duration = Duration::from_secs(4);
-/// A machine later than this voids a play that breaks a rule.
-const MACHINE_LATE: Duration = Duration::from_millis(60);
+/// A list missed by a watch whose response stopped part-way counts as delivered after this time, received or not.
+const DELIVERED_AFTER_SILENCE: Duration = Duration::from_secs(6);
+/// A change at a new address counts as delivered this long after SIGHUP.
+const DELIVERED_AFTER_SIGHUP: Duration = Duration::from_secs(4);
+/// A larger scheduling delay voids a run that breaks a rule.
+const MAX_DELAY: Duration = Duration::from_millis(60);
 const CLIENTS: usize = 8;
 
-/// What a play came to.
-pub struct Played {
+/// The result of a run.
+pub struct Outcome {
     pub record: Record,
-    /// From when each server counts as told to drain.
-    pub told: Vec<(usize, Instant)>,
+    /// The drained servers, and when each drain counts as delivered to the node.
+    pub drains: Vec<(usize, Instant)>,
     pub ready_after: Duration,
     pub killed: Instant,
-    /// It ended by itself before the kill, and with success.
-    pub ended_well: bool,
-    /// It was running when it was told to stop.
-    pub ran: bool,
-    pub stalled: Vec<Duration>,
-    pub lateness: Duration,
+    /// Whether the node exited with success before the kill.
+    pub exited_with_success: bool,
+    /// Whether the node was running when SIGTERM was sent.
+    pub running_at_sigterm: bool,
+    /// How long peers with an incomplete request waited for an error or a close.
+    pub incomplete_waits: Vec<Duration>,
+    /// The largest scheduling delay of the machine.
+    pub delay: Duration,
     pub log: String,
 }
 
-impl Played {
-    pub fn machine_late(&self) -> bool {
-        self.lateness > MACHINE_LATE
+impl Outcome {
+    pub fn has_large_delay(&self) -> bool {
+        self.delay > MAX_DELAY
     }
 
-    /// A line for whoever looks on.
+    /// A one-line summary for the test output.
     pub fn summary(&self) -> String {
         let requests = self.record.requests().len();
-        format!(
-            "{requests} requests, ready after {:?}, machine late by {:?}",
-            self.ready_after, self.lateness
-        )
+        format!("{requests} requests, ready after {:?}, scheduling delay {:?}", self.ready_after, self.delay)
     }
 }
 
-fn server(number: usize, habit: Habit, record: &Record, seed: u64) -> CacheServer {
+fn server(number: usize, behaviour: Behaviour, record: &Record, seed: u64) -> CacheServer {
     let record = record.clone();
     let draws = Mutex::new(Rng::with_seed(seed ^ number as u64));
     CacheServer::start(move |message| {
@@ -62,37 +63,39 @@
             let mut draws = draws.lock().unwrap();
             (draws.f64(), draws.u64(0..60))
         };
-        let declined = habit == Habit::Errs && draw < 0.3;
+        let declined = behaviour == Behaviour::Errs && draw < 0.3;
         let at = Instant::now();
         let deadline =
             message.header("req-deadline-ms").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
         if let Some(id) = message.header("req-id").and_then(|id| u64::from_str_radix(id, 16).ok()) {
             record.arrived(id, Arrival { server: number, at, deadline, declined });
         }
-        does(habit, message, draw, length)
+        react(behaviour, message, draw, length)
     })
 }
 
-fn does(habit: Habit, message: &Message, draw: f64, length: u64) -> Does {
-    let path = message.start.split(' ').nth(1).unwrap_or_default();
-    let served = || answer("200 OK", "", &value_of(path));
-    match habit {
-        Habit::Hangs if draw < 0.3 => Does::Nothing,
-        Habit::Errs if draw < 0.3 => {
-            Does::Answer(answer("503 Service Unavailable", "Srv-Declined: 1\r\n", ""))
+fn react(behaviour: Behaviour, message: &Message, draw: f64, length: u64) -> Reaction {
+    let path = message.start_line.split(' ').nth(1).unwrap_or_default();
+    let served = || http_response("200 OK", "", &value_of(path));
+    match behaviour {
+        Behaviour::Hangs if draw < 0.3 => Reaction::NoResponse,
+        Behaviour::Errs if draw < 0.3 => {
+            Reaction::Respond(http_response("503 Service Unavailable", "Srv-Declined: 1\r\n", ""))
         }
-        Habit::Errs if draw < 0.5 => Does::Answer(answer("500 Internal Server Error", "", "")),
-        Habit::Closes => Does::Close(served()),
-        Habit::Slow => {
+        Behaviour::Errs if draw < 0.5 => {
+            Reaction::Respond(http_response("500 Internal Server Error", "", ""))
+        }
+        Behaviour::Closes => Reaction::RespondAndClose(served()),
+        Behaviour::Slow => {
             sleep(Duration::from_millis(length));
-            Does::Answer(served())
+            Reaction::Respond(served())
         }
-        Habit::Serves | Habit::Hangs | Habit::Errs => Does::Answer(served()),
+        Behaviour::Serves | Behaviour::Hangs | Behaviour::Errs => Reaction::Respond(served()),
     }
 }
 
-/// A node with the faults of this schedule.
-fn faulty(schedule: &Schedule) -> Command {
+/// The command of a node with the faults of this schedule.
+fn faulty_node(schedule: &Schedule) -> Command {
     let library = std::env::current_exe().unwrap().with_file_name("libwalkpick_interposer.so");
     assert!(library.exists(), "{} is not built", library.display());
     let mut command = command();
@@ -101,8 +104,8 @@
     command
 }
 
-fn settings(schedule: &Schedule, agent: &Agent, hosts: &[Value]) -> Value {
-    let mut config = with_deadlines(pushed(agent.address), schedule.deadline.as_micros() as u64);
+fn node_config(schedule: &Schedule, agent: &Agent, hosts: &[Value]) -> Value {
+    let mut config = with_deadlines(push_config(agent.address), schedule.deadline.as_micros() as u64);
     for lane in config["settings"]["lanes"].as_array_mut().unwrap() {
         lane["promise_us"] = (schedule.deadline.as_micros() as u64 / 2).into();
     }
@@ -112,35 +115,41 @@
     config
 }
 
-/// The list with these servers draining.
-fn listed(servers: &[CacheServer], draining: &[usize]) -> Vec<Value> {
+/// The discovery list with these servers draining.
+fn host_list(servers: &[CacheServer], draining: &[usize]) -> Vec<Value> {
     let state = |i| if draining.contains(&i) { "draining" } else { "ready" };
     servers.iter().enumerate().map(|(i, server)| server.entry(&format!("s-{i}"), state(i))).collect()
 }
 
-/// The largest overshoot of a short sleep, for as long as the play runs.
-fn sample_lateness(over: Arc<AtomicBool>) -> thread::JoinHandle<Duration> {
+/// Measures the scheduling delay during the run: the largest overshoot of a short sleep.
+fn sample_delay(over: Arc<AtomicBool>) -> thread::JoinHandle<Duration> {
     const STEP: Duration = Duration::from_millis(5);
     thread::spawn(move || {
-        let mut most = Duration::ZERO;
+        let mut max = Duration::ZERO;
         while !over.load(Ordering::SeqCst) {
             let start = Instant::now();
             sleep(STEP);
-            most = most.max(start.elapsed().saturating_sub(STEP));
+            max = max.max(start.elapsed().saturating_sub(STEP));
         }
-        most
+        max
     })
 }
 
-/// Holds the node up again and again, until the node is gone.
-fn hold_up(pid: u32, over: Arc<AtomicBool>, (length, every): (Duration, Duration)) -> thread::JoinHandle<()> {
-    let signal = move |which: &str| {
-        let _ =
-            Command::new("kill").args([which, &pid.to_string()]).stderr(std::process::Stdio::null()).status();
+/// Stalls the node with SIGSTOP again and again, until the run ends.
+fn stall_repeatedly(
+    pid: u32,
+    over: Arc<AtomicBool>,
+    (length, pause): (Duration, Duration),
+) -> thread::JoinHandle<()> {
+    let signal = move |signal: &str| {
+        let _ = Command::new("kill")
+            .args([signal, &pid.to_string()])
+            .stderr(std::process::Stdio::null())
+            .status();
     };
     thread::spawn(move || {
         while !over.load(Ordering::SeqCst) {
-            sleep(every);
+            sleep(pause);
             if over.load(Ordering::SeqCst) {
                 return;
             }
@@ -152,17 +161,18 @@
     })
 }
 
-/// Plays a schedule.
-pub fn play(schedule: &Schedule) -> Played {
+/// Runs a schedule.
+pub fn run(schedule: &Schedule) -> Outcome {
     let record = Record::default();
-    let habits = schedule.habits.iter().enumerate();
-    let servers: Vec<_> = habits.map(|(i, habit)| server(i, *habit, &record, schedule.seed)).collect();
+    let behaviours = schedule.behaviours.iter().enumerate();
+    let servers: Vec<_> =
+        behaviours.map(|(i, behaviour)| server(i, *behaviour, &record, schedule.seed)).collect();
     let over = Arc::new(AtomicBool::new(false));
-    let lateness = sample_lateness(over.clone());
-    let mut agent = Agent::start(&listed(&servers, &[]), None);
+    let delay_sampler = sample_delay(over.clone());
+    let mut agent = Agent::start(&host_list(&servers, &[]), None);
     let start = Instant::now();
-    let mut config = settings(schedule, &agent, &listed(&servers, &[]));
-    let mut node = Node::start_by(faulty(schedule), &config);
+    let mut config = node_config(schedule, &agent, &host_list(&servers, &[]));
+    let mut node = Node::start_with(faulty_node(schedule), &config);
     while node.health() != Some(200) && start.elapsed() < Duration::from_secs(30) {
         sleep(Duration::from_millis(10));
     }
@@ -170,88 +180,87 @@
 
     let phases = Arc::new(Phases::default());
     let ids = Arc::new((schedule.seed << 32 | 1).into());
-    let setting = Setting {
+    let context = Context {
         node: node.address,
         record: record.clone(),
         phases: phases.clone(),
         ids,
         deadline: schedule.deadline,
     };
-    let idle = clients::crowd(node.address, schedule.crowd);
-    let stalled: Arc<Mutex<Vec<Duration>>> = Arc::default();
+    let idle = clients::open_idle_connections(node.address, schedule.idle_clients);
+    let incomplete_waits: Arc<Mutex<Vec<Duration>>> = Arc::default();
     let mut threads: Vec<_> = (0..CLIENTS)
         .map(|i| {
-            let (setting, rng) = (setting.clone(), Rng::with_seed(schedule.seed << 8 | i as u64));
-            thread::spawn(move || clients::ask_on(&setting, rng, i % 3 == 0))
+            let (context, rng) = (context.clone(), Rng::with_seed(schedule.seed << 8 | i as u64));
+            thread::spawn(move || clients::send_requests(&context, rng, i % 3 == 0))
         })
         .collect();
-    let (stalls, waited) = (setting.clone(), stalled.clone());
-    threads.push(thread::spawn(move || clients::stall(&stalls, &waited)));
-    let held = schedule.hold_up.map(|hold| hold_up(node.child.id(), over.clone(), hold));
+    let (shared_context, waits) = (context.clone(), incomplete_waits.clone());
+    threads.push(thread::spawn(move || clients::send_incomplete_requests(&shared_context, &waits)));
+    let stalls = schedule.stalls.map(|stalls| stall_repeatedly(node.child.id(), over.clone(), stalls));
 
-    let mut told = Vec::new();
-    // The last server is never drained.
+    let mut drains = Vec::new();
     let mut draining: Vec<usize> = Vec::new();
     for (i, step) in schedule.steps.iter().enumerate() {
-        sleep(step.calm);
+        sleep(step.pause);
         draining.push(i + 1);
-        let hosts = listed(&servers, &draining);
-        let mut counts_from = Instant::now();
+        let hosts = host_list(&servers, &draining);
+        let mut delivered = Instant::now();
         let mut published = false;
         match step.event {
-            DiscoveryEvent::Quiet => {}
+            DiscoveryEvent::NoEvent => {}
             DiscoveryEvent::Outage(outage, length) => {
-                agent.goes_down(outage);
+                agent.start_outage(outage);
                 sleep(length);
                 if step.drain == DrainMoment::During {
-                    // An agent that is down learns nothing: it has this at its return.
+                    // An agent that is down receives nothing: it gets this list at the end of the outage.
                     published = true;
-                    agent.publish_at_return(&hosts);
+                    agent.publish_after_outage(&hosts);
                 }
-                agent.comes_back();
-                counts_from = Instant::now();
+                agent.end_outage();
+                delivered = Instant::now();
             }
             DiscoveryEvent::Move { signals } => {
-                agent = Agent::start(&listed(&servers, &draining[..i]), None);
+                agent = Agent::start(&host_list(&servers, &draining[..i]), None);
                 config["discovery"] = agent.address.to_string().into();
                 for _ in 0..signals {
                     node.reload(&config.to_string());
                 }
-                counts_from = Instant::now() + TOLD_AFTER_SIGHUP;
+                delivered = Instant::now() + DELIVERED_AFTER_SIGHUP;
             }
         }
         match step.drain {
             DrainMoment::During => {}
-            DrainMoment::Unwatched(most) => {
-                let back = Instant::now();
-                while agent.is_watched() && back.elapsed() < most {
+            DrainMoment::WithoutCall(max_wait) => {
+                let ended = Instant::now();
+                while agent.has_call_in_flight() && ended.elapsed() < max_wait {
                     sleep(Duration::from_micros(200));
                 }
             }
             DrainMoment::After(length) => sleep(length),
         }
         if !published {
-            counts_from = counts_from.max(agent.publish(&hosts));
+            delivered = delivered.max(agent.publish(&hosts));
         }
-        if let Some(silent) = agent.half_answered() {
-            counts_from = counts_from.max(silent + TOLD_AFTER_SILENCE);
+        if let Some(silent) = agent.last_partial_response() {
+            delivered = delivered.max(silent + DELIVERED_AFTER_SILENCE);
         }
-        told.push((i + 1, counts_from));
+        drains.push((i + 1, delivered));
     }
     sleep(Duration::from_secs(2));
 
-    let ran = node.child.try_wait().unwrap().is_none();
-    if schedule.reload_at_stop {
+    let running_at_sigterm = node.child.try_wait().unwrap().is_none();
+    if schedule.reload_at_shutdown {
         node.reload(&config.to_string());
     }
-    let stopped = Instant::now();
-    *phases.told_to_stop.lock().unwrap() = Some(stopped);
+    let terminated = Instant::now();
+    *phases.terminated_at.lock().unwrap() = Some(terminated);
     node.terminate();
-    if schedule.reload_at_stop {
+    if schedule.reload_at_shutdown {
         node.reload(&config.to_string());
         node.terminate();
     }
-    let kill = stopped + BEFORE_KILL + schedule.deadline.min(Duration::from_secs(3));
+    let kill = terminated + BEFORE_KILL + schedule.deadline.min(Duration::from_secs(3));
     let mut status = None;
     while status.is_none() && Instant::now() < kill {
         status = node.child.try_wait().unwrap();
@@ -262,23 +271,23 @@
     let _ = node.child.kill();
     *phases.over.lock().unwrap() = true;
     for thread in threads {
-        thread.join().expect("a client that ends");
+        thread.join().expect("the client ends");
     }
     drop(idle);
-    if let Some(held) = held {
-        held.join().expect("a hold-up that ends");
+    if let Some(stalls) = stalls {
+        stalls.join().expect("the stalls end");
     }
     let log = node.log.lock().unwrap().clone();
-    let stalled = stalled.lock().unwrap().clone();
-    Played {
+    let incomplete_waits = incomplete_waits.lock().unwrap().clone();
+    Outcome {
         record,
-        told,
+        drains,
         ready_after,
         killed,
-        ended_well: status.is_some_and(|status| status.success()),
-        ran,
-        stalled,
-        lateness: lateness.join().unwrap(),
+        exited_with_success: status.is_some_and(|status| status.success()),
+        running_at_sigterm,
+        incomplete_waits,
+        delay: delay_sampler.join().unwrap(),
         log,
     }
 }
--- a/interposer/tests/soak/schedule.rs
+++ b/interposer/tests/soak/schedule.rs
@@ -1,69 +1,69 @@
-//! What a seed stands for: the deployment, the faults, and when each comes.
+//! The schedule of a seed: the deployment, the faults and their times.
 
 use crate::node_common::agent::Outage;
 use fastrand::Rng;
 use std::time::Duration;
 
-/// What discovery does.
+/// An event at discovery.
 #[derive(Clone, Copy, Debug)]
 pub enum DiscoveryEvent {
-    /// It is down for so long.
+    /// It is down for this time.
     Outage(Outage, Duration),
-    /// It moves, and the node is told by so many SIGHUPs in a row.
+    /// It moves to a new address, and the node gets this number of SIGHUPs in a row.
     Move { signals: usize },
-    /// Nothing but the drain.
-    Quiet,
+    /// No event besides the drain.
+    NoEvent,
 }
 
-/// When a drain is told, against the end of the event.
+/// When a drain is published, relative to the end of the event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainMoment {
-    /// While discovery is down: it counts from its return.
+    /// While discovery is down: it counts from the end of the outage.
     During,
-    /// At the first moment after the end in which no call is out, for so long at the most.
-    Unwatched(Duration),
-    /// So long after the end.
+    /// At the first moment after the event without a call in flight, or after this time.
+    WithoutCall(Duration),
+    /// This time after the event.
     After(Duration),
 }
 
-/// One step of a play: an event, a drain, and calm for so long before them.
+/// One step of a run: an event and a drain, after a pause.
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
-    pub calm: Duration,
+    pub pause: Duration,
     pub event: DiscoveryEvent,
     pub drain: DrainMoment,
 }
 
-/// How a server treats its connections and requests.
+/// How a server treats connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Habit {
+pub enum Behaviour {
     Serves,
-    /// Each answer closes its connection.
+    /// Closes its connection after each response.
     Closes,
-    /// Some requests get no answer.
+    /// Leaves some requests without a response.
     Hangs,
-    /// Some requests are answered with 500, or turned away.
+    /// Answers some requests with 500, or declines them.
     Errs,
-    /// Answers take some time.
+    /// Delays its responses.
     Slow,
 }
 
-/// See the module's documentation.
+/// The schedule of one run.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub seed: u64,
     /// Rules of the interposer.
     pub rules: String,
     pub deadline: Duration,
-    pub habits: Vec<Habit>,
+    pub behaviours: Vec<Behaviour>,
     pub steps: Vec<Step>,
-    /// The node is held up for so long each time, and so long passes from one time to the next.
-    pub hold_up: Option<(Duration, Duration)>,
-    /// Idle clients that fill the descriptors.
-    pub crowd: usize,
+    /// The length of each stall of the node, and the pause before it.
+    pub stalls: Option<(Duration, Duration)>,
+    /// Idle clients that use up the descriptors.
+    pub idle_clients: usize,
     pub descriptors: usize,
-    /// SIGHUP beside SIGTERM.
-    pub reload_at_stop: bool,
+    /// Whether SIGHUPs are sent around SIGTERM.
+    pub reload_at_shutdown: bool,
 }
 
 const RULES: [&str; 16] = [
@@ -89,51 +89,66 @@
     Duration::from_millis(rng.u64(from..=to))
 }
 
-fn one<T: Copy>(rng: &mut Rng, of: &[T]) -> T {
-    of[rng.usize(..of.len())]
+fn choose<T: Copy>(rng: &mut Rng, items: &[T]) -> T {
+    items[rng.usize(..items.len())]
 }
 
 impl Schedule {
-    /// The schedule of a seed: always the same.
+    /// Draws the schedule of a seed, the same one every time.
     pub fn draw(seed: u64) -> Self {
         let rng = &mut Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let rules: Vec<_> = (0..rng.usize(0..=3)).map(|_| one(rng, &RULES)).collect();
-        let habits = [Habit::Serves, Habit::Serves, Habit::Closes, Habit::Hangs, Habit::Errs, Habit::Slow];
+        let rules: Vec<_> = (0..rng.usize(0..=3)).map(|_| choose(rng, &RULES)).collect();
+        let behaviours = [
+            Behaviour::Serves,
+            Behaviour::Serves,
+            Behaviour::Closes,
+            Behaviour::Hangs,
+            Behaviour::Errs,
+            Behaviour::Slow,
+        ];
         let servers = rng.usize(5..=9);
-        let crowd = if rng.bool() { rng.usize(60..=140) } else { 0 };
+        let idle_clients = if rng.bool() { rng.usize(60..=140) } else { 0 };
         Self {
             seed,
             rules: rules.join("; "),
             deadline: ms(rng, 400, 2_500),
-            // One that serves is always left.
-            habits: (0..servers).map(|i| if i == 0 { Habit::Serves } else { one(rng, &habits) }).collect(),
+            // The first server always serves and is never drained.
+            behaviours: (0..servers)
+                .map(|i| if i == 0 { Behaviour::Serves } else { choose(rng, &behaviours) })
+                .collect(),
             steps: (0..3).map(|_| Self::step(rng)).collect(),
-            hold_up: rng.bool().then(|| (ms(rng, 20, 150), ms(rng, 700, 2_500))),
-            crowd,
-            descriptors: if crowd > 0 { 160 } else { 1_024 },
-            reload_at_stop: rng.bool(),
+            stalls: rng.bool().then(|| (ms(rng, 20, 150), ms(rng, 700, 2_500))),
+            idle_clients,
+            descriptors: if idle_clients > 0 { 160 } else { 1_024 },
+            reload_at_shutdown: rng.bool(),
         }
     }
 
     fn step(rng: &mut Rng) -> Step {
-        let outages = [Outage::Silent, Outage::HalfAnswered, Outage::Unavailable, Outage::Reset];
+        let outages = [Outage::Silent, Outage::PartialResponse, Outage::Unavailable, Outage::Reset];
         let event = match rng.u8(..5) {
-            0 => DiscoveryEvent::Quiet,
+            0 => DiscoveryEvent::NoEvent,
             1 => DiscoveryEvent::Move { signals: rng.usize(1..=3) },
-            _ => DiscoveryEvent::Outage(one(rng, &outages), ms(rng, 200, 7_000)),
+            _ => DiscoveryEvent::Outage(choose(rng, &outages), ms(rng, 200, 7_000)),
         };
         let drain = match rng.u8(..3) {
             0 => DrainMoment::During,
-            1 => DrainMoment::Unwatched(ms(rng, 200, 3_000)),
+            1 => DrainMoment::WithoutCall(ms(rng, 200, 3_000)),
             _ => DrainMoment::After(ms(rng, 0, 2_500)),
         };
-        Step { calm: ms(rng, 200, 2_500), event, drain }
+        Step { pause: ms(rng, 200, 2_500), event, drain }
     }
 
-    /// A line for whoever looks on.
+    /// A one-line summary for the test output.
     pub fn summary(&self) -> String {
         let events: Vec<_> =
             self.steps.iter().map(|step| format!("{:?} {:?}", step.event, step.drain)).collect();
-        format!("[{}] {} servers, {}, crowd {}", self.rules, self.habits.len(), events.join(", "), self.crowd)
+        format!(
+            "[{}] {} servers, {}, {} idle clients",
+            self.rules,
+            self.behaviours.len(),
+            events.join(", "),
+            self.idle_clients
+        )
     }
 }
--- a/tests/check_config.rs
+++ b/tests/check_config.rs
@@ -1,16 +1,16 @@
-//! `walkpick check-config`: everything that is wrong at once, in plain words, and no panic.
+//! `walkpick check-config` reports all errors of a configuration at once, in plain language and without a panic.
 
 mod node_common;
 
-use node_common::{command, config, host, write_config};
+use node_common::{command, config, host_entry, write_config};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::process::Output;
 
-fn good() -> Value {
-    let mut good = config("10.2.0.1:8500".parse().unwrap());
-    good["known"]["hosts"] = vec![host("s-1", "10.1.0.18:7070".parse().unwrap(), "ready")].into();
-    good
+fn valid_config() -> Value {
+    let mut config = config("10.2.0.1:8500".parse().unwrap());
+    config["known"]["hosts"] = vec![host_entry("s-1", "10.1.0.18:7070".parse().unwrap(), "ready")].into();
+    config
 }
 
 fn check(path: &Path, more: &[&str]) -> Output {
@@ -20,8 +20,8 @@
     output
 }
 
-/// What is said of a file of these bytes: one line a fault, without the file's name.
-fn said_of(bytes: &[u8]) -> Vec<String> {
+/// The errors reported for a file with this content: one line each, without the file name.
+fn errors_of(bytes: &[u8]) -> Vec<String> {
     let path = write_config("");
     std::fs::write(&path, bytes).unwrap();
     let output = check(&path, &[]);
@@ -34,29 +34,29 @@
     lines
 }
 
-fn said_of_config(config: &Value) -> Vec<String> {
-    said_of(config.to_string().as_bytes())
+fn errors_of_config(config: &Value) -> Vec<String> {
+    errors_of(config.to_string().as_bytes())
 }
 
 #[test]
-fn a_text_that_is_no_object_is_told_with_the_place_that_breaks_it() {
-    let whole = ["the file: found nothing, expected a JSON object"];
-    assert_eq!(said_of(b""), whole);
-    assert_eq!(said_of(b" \n\t"), whole);
+fn a_text_that_is_not_a_json_object_is_reported_with_the_position_of_the_error() {
+    let empty_file = ["the file: found nothing, expected a JSON object"];
+    assert_eq!(errors_of(b""), empty_file);
+    assert_eq!(errors_of(b" \n\t"), empty_file);
     assert_eq!(
-        said_of(b"{\"name\":\n  \"n3\","),
+        errors_of(b"{\"name\":\n  \"n3\","),
         ["line 2, column 7: found the end of the text, expected a whole JSON object"]
     );
-    assert_eq!(said_of(b"{\"name\":\"\xff\"}"), ["byte 9: found no UTF-8, expected text in UTF-8"]);
-    assert_eq!(said_of(b"[1]"), ["the file: found a list of 1, expected a JSON object"]);
-    assert_eq!(said_of(b"{} {}").len(), 1);
-    // Deeper than any reader goes.
-    assert_eq!(said_of("[".repeat(100_000).as_bytes()).len(), 1);
+    assert_eq!(errors_of(b"{\"name\":\"\xff\"}"), ["byte 9: found no UTF-8, expected text in UTF-8"]);
+    assert_eq!(errors_of(b"[1]"), ["the file: found a list of 1, expected a JSON object"]);
+    assert_eq!(errors_of(b"{} {}").len(), 1);
+    // Nested deeper than any parser allows.
+    assert_eq!(errors_of("[".repeat(100_000).as_bytes()).len(), 1);
 }
 
 #[test]
-fn wrong_types_in_several_places_are_told_at_once() {
-    let mut wrong = good();
+fn wrong_types_in_several_places_are_reported_at_once() {
+    let mut wrong = valid_config();
     wrong["listen"] = 7070.into();
     wrong["limits"]["sockets"] = "many".into();
     wrong["settings"]["lanes"][1]["promise_us"] = "soon".into();
@@ -64,7 +64,7 @@
     wrong["known"] = 3.into();
     wrong["walkpick"] = json!({"log": {"window": 250}});
     assert_eq!(
-        said_of_config(&wrong),
+        errors_of_config(&wrong),
         [
             "listen: found 7070, expected an address and port such as 10.0.0.4:7070",
             "limits.sockets: found \"many\", expected a whole number from 32: fewer leave no room to work",
@@ -77,11 +77,11 @@
 }
 
 #[test]
-fn peers_that_nobody_can_meet_are_refused_with_the_place() {
-    let mut wrong = good();
+fn invalid_peer_settings_are_reported_with_their_path() {
+    let mut wrong = valid_config();
     wrong["walkpick"] = json!({"peers": {"cluster": "", "seeds": ["10.0.0.1:7946", "nowhere"]}});
     assert_eq!(
-        said_of_config(&wrong),
+        errors_of_config(&wrong),
         [
             "walkpick.peers.cluster: found \"\", expected a text of 1 to 32 bytes",
             "walkpick.peers.seeds[1]: found \"nowhere\", expected an address and port",
@@ -89,7 +89,7 @@
     );
     wrong["walkpick"] = json!({"peers": {"probe_every": "200ms"}});
     assert_eq!(
-        said_of_config(&wrong),
+        errors_of_config(&wrong),
         [
             "walkpick.peers.listen: found nothing, expected an address and port, where peers are configured",
             "walkpick.peers.probe_timeout: found 180ms, expected half of `peers.probe_every` at the most",
@@ -98,13 +98,13 @@
 }
 
 #[test]
-fn unknown_names_are_refused_in_the_own_section_and_passed_over_elsewhere() {
-    let mut odd = good();
-    odd["region"] = "central".into();
-    odd["settings"]["new_one"] = 1.into();
-    odd["walkpick"] = json!({"log": {"formatt": "json"}, "states": {}});
+fn unknown_names_are_errors_in_the_walkpick_section_and_ignored_elsewhere() {
+    let mut invalid = valid_config();
+    invalid["region"] = "central".into();
+    invalid["settings"]["new_one"] = 1.into();
+    invalid["walkpick"] = json!({"log": {"formatt": "json"}, "states": {}});
     assert_eq!(
-        said_of_config(&odd),
+        errors_of_config(&invalid),
         [
             "walkpick.log.formatt: found an unknown name, expected a known name: did you mean `format`?",
             "walkpick.states: found an unknown name, expected one of the names log, peers",
@@ -113,29 +113,29 @@
 }
 
 #[test]
-fn negative_and_absurd_times_are_told() {
-    let mut odd = good();
-    odd["settings"]["lanes"][0]["hard_limit_us"] = (-5).into();
-    odd["settings"]["limits"]["keepalive_us"] = json!(1e300);
-    odd["walkpick"] = json!({"log": {"window": "-1s"}});
+fn negative_and_extreme_times_are_reported() {
+    let mut invalid = valid_config();
+    invalid["settings"]["lanes"][0]["hard_limit_us"] = (-5).into();
+    invalid["settings"]["limits"]["keepalive_us"] = json!(1e300);
+    invalid["walkpick"] = json!({"log": {"window": "-1s"}});
     assert_eq!(
-        said_of_config(&odd),
+        errors_of_config(&invalid),
         [
             "settings.lanes.0.hard_limit_us: found \"-5\", expected a whole number of microseconds",
             "settings.limits.keepalive_us: found \"1e+300\", expected a whole number of microseconds",
             "walkpick.log.window: found \"-1s\", expected a time as text from `100ms` to `1h`",
         ]
     );
-    odd["settings"]["lanes"][0]["hard_limit_us"] = 1_000_000.into();
-    odd["settings"]["limits"]["keepalive_us"] = 60_000_000.into();
+    invalid["settings"]["lanes"][0]["hard_limit_us"] = 1_000_000.into();
+    invalid["settings"]["limits"]["keepalive_us"] = 60_000_000.into();
     for window in ["0s", "99ms", "3 weeks", "99999999999999999999years", "", "1"] {
-        odd["walkpick"]["log"]["window"] = window.into();
-        assert_eq!(said_of_config(&odd).len(), 1, "{window}");
+        invalid["walkpick"]["log"]["window"] = window.into();
+        assert_eq!(errors_of_config(&invalid).len(), 1, "{window}");
     }
-    // What the platform says is taken as it is, and pointed at.
-    let mut long = good();
-    long["settings"]["lanes"][0]["hard_limit_us"] = u64::MAX.into();
-    let path = write_config(&long.to_string());
+    // An extreme value in the settings of the platform is accepted, with a warning.
+    let mut extreme = valid_config();
+    extreme["settings"]["lanes"][0]["hard_limit_us"] = u64::MAX.into();
+    let path = write_config(&extreme.to_string());
     let output = check(&path, &[]);
     let text = String::from_utf8(output.stdout).unwrap();
     assert!(output.status.success(), "{text}");
@@ -144,18 +144,18 @@
 }
 
 #[test]
-fn too_few_sockets_are_told() {
+fn too_few_sockets_are_reported() {
     for sockets in [json!(0), json!(31), json!(-1), json!(1.5), Value::Null] {
-        let mut few = good();
+        let mut few = valid_config();
         few["limits"]["sockets"] = sockets.clone();
-        let said = said_of_config(&few);
-        assert_eq!(said.len(), 1, "{said:?}");
-        assert!(said[0].starts_with("limits.sockets: found "), "{said:?}");
+        let errors = errors_of_config(&few);
+        assert_eq!(errors.len(), 1, "{errors:?}");
+        assert!(errors[0].starts_with("limits.sockets: found "), "{errors:?}");
     }
 }
 
 #[test]
-fn a_path_that_is_no_file_is_told() {
+fn a_path_that_is_not_a_file_is_reported() {
     for path in [std::env::temp_dir(), PathBuf::from("no/such/file.json")] {
         let output = check(&path, &[]);
         let error = String::from_utf8(output.stderr).unwrap();
@@ -165,8 +165,8 @@
 }
 
 #[test]
-fn a_sound_configuration_is_shown_as_what_a_node_would_do() {
-    let path = write_config(&good().to_string());
+fn a_valid_configuration_is_shown_as_the_plan_of_a_node() {
+    let path = write_config(&valid_config().to_string());
     let text = String::from_utf8(check(&path, &[]).stdout).unwrap();
     for part in
         ["n0", "127.0.0.1:0", "10.2.0.1:8500", "500 connections", "1 cache servers", "never runs twice"]
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn the_command_line_refuses_what_it_does_not_know() {
+fn unknown_command_line_arguments_are_rejected() {
     for arguments in [&["nodes"][..], &["check-config"], &["--frobnicate"]] {
         let output = command().args(arguments).output().unwrap();
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
--- a/tests/example.rs
+++ b/tests/example.rs
@@ -1,26 +1,26 @@
-//! The node that a newcomer tries.
+//! The example `standin`: a node with stand-ins for discovery and its cache servers.
 
 mod node_common;
 
-use node_common::{read, wait_for, Client, PATIENCE};
+use node_common::{get_request, wait_for, Client, WAIT_TIMEOUT};
 use std::io::{BufRead, BufReader};
 use std::net::TcpStream;
 use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// Ended by a signal that lets it end its node.
+/// The example process, ended on drop by SIGTERM so that it stops its node.
 struct Standin(Child);
 
 impl Drop for Standin {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the example has already exited.
         let _ = Command::new("kill").arg(self.0.id().to_string()).status();
-        wait_for("the example's end", || self.0.try_wait().is_ok_and(|status| status.is_some()));
+        wait_for("the exit of the example", || self.0.try_wait().is_ok_and(|status| status.is_some()));
     }
 }
 
 type Log = BufReader<ChildStderr>;
 
-/// Starts the example, its node's log at this level.
+/// Starts the example with this log level of its node.
 fn start(level: &str) -> (Standin, Log) {
     let program = std::env::current_exe().unwrap().with_file_name("../examples/standin");
     let mut child =
@@ -31,7 +31,7 @@
 
 fn next_line(log: &mut Log) -> String {
     let mut line = String::new();
-    assert_ne!(log.read_line(&mut line).unwrap(), 0, "it ended");
+    assert_ne!(log.read_line(&mut line).unwrap(), 0, "the example exited");
     line
 }
 
@@ -44,28 +44,29 @@
     }
     let address = line.trim_end().rsplit(' ').next().unwrap().to_owned();
     let stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut client = Client::new(stream);
     wait_for("the node's readiness", || {
-        client.ask("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n").status() == 200
+        client.request("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n").status() == 200
     });
-    let served = client.ask(&read("read", 7, 20_000));
-    assert_eq!(served.status(), 200);
-    assert!(String::from_utf8(served.body)
+    let response = client.request(&get_request("read", 7, 20_000));
+    assert_eq!(response.status(), 200);
+    assert!(String::from_utf8(response.body)
         .unwrap()
         .starts_with("the value of /api/0000000000000007, from s-"));
 }
 
-// The stand-in's discovery once answered after its own time, not after the one that the node's watch asked for.
+// Guards against a discovery stand-in that answers a watch after a wait of its own instead of the one that the node
+// requested, so that the node's calls time out.
 #[test]
-fn the_example_node_is_answered_by_its_discovery_without_a_warning() {
+fn the_example_node_watches_its_discovery_without_warnings() {
     const WATCHES: usize = 3;
     let (_standin, mut log) = start("debug");
     let mut answered = 0;
     while answered < WATCHES {
         let line = next_line(&mut log);
         assert!(!line.contains(" WARN ") && !line.contains(" ERROR "), "{line}");
-        // A call that does not wait brings the whole list.
+        // A call without a wait returns the whole list.
         answered += usize::from(line.contains("list taken in") && line.contains("whole=false"));
     }
 }
--- a/tests/node_common/agent.rs
+++ b/tests/node_common/agent.rs
@@ -1,17 +1,18 @@
-//! The agent that lists are pushed to, on the node's own machine: what it has counts as told to the node, whether or
-//! not a watch is open. While discovery is down it fails in the way that a test says, and it comes back when told to.
+//! A stand-in for the discovery agent on the node's own machine, to which server lists are pushed. A list counts as
+//! delivered to the node once the agent has it, whether or not a watch is open. A test chooses how calls fail during an
+//! outage, and when the outage ends.
 
-use super::script::Reserved;
+use super::script::ReservedAddress;
 use super::*;
 use std::net::Shutdown;
 
-/// How often a waiting call looks whether the node has given it up.
-const LOOK: Duration = Duration::from_millis(2);
+/// How often a waiting call checks whether the node has closed its connection.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What the agent does with calls while discovery is down.
+/// How the agent treats calls during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// Connections come up and nobody reads what comes on them.
+    /// Connections are accepted, and nothing is read from them.
     Silent,
     /// Connections are refused.
     Refused,
@@ -19,13 +20,13 @@
     Unavailable,
     /// Each call's connection is reset.
     Reset,
-    /// Each call gets half an answer, and its connection stays open.
-    HalfAnswered,
+    /// Each call gets part of a response, and its connection stays open.
+    PartialResponse,
 }
 
 impl Outage {
-    /// Whether the node learns at once that a call has failed.
-    pub fn fails_at_once(self) -> bool {
+    /// Whether the node sees the failure of a call immediately.
+    pub fn fails_immediately(self) -> bool {
         matches!(self, Self::Refused | Self::Unavailable | Self::Reset)
     }
 }
@@ -33,38 +34,38 @@
 struct State {
     seq: u64,
     hosts: Vec<Value>,
-    /// What it is told of at the end of the outage.
-    at_return: Option<Vec<Value>>,
-    down: Option<Outage>,
-    /// Calls that were read, or lie unread, and have neither an answer nor an end.
-    calls_out: usize,
-    /// When the last call got half an answer.
-    half_answered: Option<Instant>,
-    /// Calls that came, whatever became of them.
+    /// The list that it receives at the end of the outage.
+    hosts_after_outage: Option<Vec<Value>>,
+    outage: Option<Outage>,
+    /// Calls that were received and neither answered nor ended.
+    calls_in_flight: usize,
+    /// When part of a response was last sent.
+    last_partial_response: Option<Instant>,
+    /// All calls received, with any outcome.
     calls: usize,
     answered: usize,
 }
 
-/// See the module's documentation.
+/// A discovery agent; see the module's documentation.
 pub struct Agent {
     pub address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
-    /// Kept while nobody listens.
-    reserved: Mutex<Option<Reserved>>,
+    /// Holds the port while the agent does not listen.
+    reserved: Mutex<Option<ReservedAddress>>,
 }
 
 impl Agent {
-    /// An agent that holds this list, as version 1, and is in an outage or not.
-    pub fn start(hosts: &[Value], down: Option<Outage>) -> Self {
-        let reserved = Reserved::bind();
+    /// Starts an agent that has this list as version 1 and may be in an outage.
+    pub fn start(hosts: &[Value], outage: Option<Outage>) -> Self {
+        let reserved = ReservedAddress::bind();
         let (seq, hosts) = (1, hosts.to_vec());
         let state = State {
             seq,
             hosts,
-            at_return: None,
-            down,
-            half_answered: None,
-            calls_out: 0,
+            hosts_after_outage: None,
+            outage,
+            last_partial_response: None,
+            calls_in_flight: 0,
             calls: 0,
             answered: 0,
         };
@@ -73,7 +74,7 @@
             state: Arc::new((Mutex::new(state), Condvar::new())),
             reserved: Mutex::new(Some(reserved)),
         };
-        if down != Some(Outage::Refused) {
+        if outage != Some(Outage::Refused) {
             agent.listen();
         }
         agent
@@ -90,17 +91,17 @@
         });
     }
 
-    /// Discovery goes down in this way.
-    pub fn goes_down(&self, outage: Outage) {
-        assert_ne!(outage, Outage::Refused, "one that listens goes on listening");
-        self.change(|state| state.down = Some(outage));
+    /// Begins an outage.
+    pub fn start_outage(&self, outage: Outage) {
+        assert_ne!(outage, Outage::Refused, "an agent that listens cannot refuse connections");
+        self.update(|state| state.outage = Some(outage));
     }
 
-    /// Discovery is back: calls that lie unread are read now.
-    pub fn comes_back(&self) {
-        self.change(|state| {
-            state.down = None;
-            if let Some(hosts) = state.at_return.take() {
+    /// Ends the outage: calls that have not been read are read from now on.
+    pub fn end_outage(&self) {
+        self.update(|state| {
+            state.outage = None;
+            if let Some(hosts) = state.hosts_after_outage.take() {
                 state.seq += 1;
                 state.hosts = hosts;
             }
@@ -108,10 +109,10 @@
         self.listen();
     }
 
-    /// The agent is told of a list of its own: it counts as told to the node from here on.
+    /// Pushes a list to the agent and returns the time from which it counts as delivered to the node.
     pub fn publish(&self, hosts: &[Value]) -> Instant {
         let mut published = Instant::now();
-        self.change(|state| {
+        self.update(|state| {
             state.seq += 1;
             state.hosts = hosts.to_vec();
             published = Instant::now();
@@ -119,13 +120,13 @@
         published
     }
 
-    /// The agent is told of this list with the end of its outage, when [`Self::comes_back`] is called next.
-    pub fn publish_at_return(&self, hosts: &[Value]) {
-        self.change(|state| state.at_return = Some(hosts.to_vec()));
+    /// Pushes a list with the end of the outage, at the next call of [`Self::end_outage`].
+    pub fn publish_after_outage(&self, hosts: &[Value]) {
+        self.update(|state| state.hosts_after_outage = Some(hosts.to_vec()));
     }
 
-    fn change(&self, how: impl FnOnce(&mut State)) {
-        how(&mut self.state.0.lock().unwrap());
+    fn update(&self, change: impl FnOnce(&mut State)) {
+        change(&mut self.state.0.lock().unwrap());
         self.state.1.notify_all();
     }
 
@@ -137,54 +138,54 @@
         self.state.0.lock().unwrap().answered
     }
 
-    /// When a watch last fell silent within its answer.
-    pub fn half_answered(&self) -> Option<Instant> {
-        self.state.0.lock().unwrap().half_answered
+    /// When a response last stopped part-way.
+    pub fn last_partial_response(&self) -> Option<Instant> {
+        self.state.0.lock().unwrap().last_partial_response
     }
 
-    /// Whether a call of the node's is out that a change would answer.
-    pub fn is_watched(&self) -> bool {
-        self.state.0.lock().unwrap().calls_out > 0
+    /// Whether a call is in flight that a change would be sent on.
+    pub fn has_call_in_flight(&self) -> bool {
+        self.state.0.lock().unwrap().calls_in_flight > 0
     }
 }
 
-/// Serves one call; `None` where the connection is over.
+/// Serves one call; `None` if the connection has ended.
 fn serve_call(stream: &TcpStream, state: &(Mutex<State>, Condvar)) -> Option<()> {
     let call = Message::read(&mut BufReader::new(stream.try_clone().ok()?)).ok()??;
     {
         let mut state = state.0.lock().unwrap();
         state.calls += 1;
-        state.calls_out += 1;
+        state.calls_in_flight += 1;
     }
     let served = answer_call(stream, &call, state);
-    state.0.lock().unwrap().calls_out -= 1;
+    state.0.lock().unwrap().calls_in_flight -= 1;
     served
 }
 
 fn answer_call(mut stream: &TcpStream, call: &Message, state: &(Mutex<State>, Condvar)) -> Option<()> {
-    let down = state.0.lock().unwrap().down;
-    match down {
-        // Refused connections never come here.
+    let outage = state.0.lock().unwrap().outage;
+    match outage {
+        // A refused connection never gets here.
         None | Some(Outage::Refused) => {}
-        Some(Outage::Silent) => wait(stream, state, None, |state| state.down.is_none())?,
+        Some(Outage::Silent) => wait_while_open(stream, state, None, |state| state.outage.is_none())?,
         Some(Outage::Unavailable) => {
-            return stream.write_all(answer("503 Service Unavailable", "", "").as_bytes()).ok();
+            return stream.write_all(http_response("503 Service Unavailable", "", "").as_bytes()).ok();
         }
         Some(Outage::Reset) => {
             script::reset(stream.try_clone().ok()?);
             stream.shutdown(Shutdown::Both).ok()?;
             return None;
         }
-        Some(Outage::HalfAnswered) => {
-            state.0.lock().unwrap().half_answered = Some(Instant::now());
+        Some(Outage::PartialResponse) => {
+            state.0.lock().unwrap().last_partial_response = Some(Instant::now());
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"seq\":2,").ok()?;
-            return wait(stream, state, None, |_| false);
+            return wait_while_open(stream, state, None, |_| false);
         }
     }
-    let after = number(call, "after");
+    let after = query_number(call, "after");
     if let Some(after) = after {
-        let within = Duration::from_millis(number(call, "wait_ms").unwrap_or(0));
-        wait(stream, state, Some(within), |state| state.seq > after)?;
+        let within = Duration::from_millis(query_number(call, "wait_ms").unwrap_or(0));
+        wait_while_open(stream, state, Some(within), |state| state.seq > after)?;
     }
     let list = {
         let mut state = state.0.lock().unwrap();
@@ -192,26 +193,26 @@
         let hosts = if after == Some(state.seq) { Vec::new() } else { state.hosts.clone() };
         json!({"seq": state.seq, "whole": after.is_none(), "hosts": hosts}).to_string()
     };
-    stream.write_all(answer("200 OK", "", &list).as_bytes()).ok()
+    stream.write_all(http_response("200 OK", "", &list).as_bytes()).ok()
 }
 
-/// A number of a call's query.
-fn number(call: &Message, name: &str) -> Option<u64> {
-    let (_, rest) = call.start.split_once(&format!("{name}="))?;
+/// A numeric parameter of a call's query string.
+fn query_number(call: &Message, name: &str) -> Option<u64> {
+    let (_, rest) = call.start_line.split_once(&format!("{name}="))?;
     rest.split(['&', ' ']).next()?.parse().ok()
 }
 
-/// Waits until `done` holds or the time is over; `None` where the node closes the connection first.
-fn wait(
+/// Waits until `done` holds or the time has passed; `None` if the node closes the connection first.
+fn wait_while_open(
     stream: &TcpStream,
     state: &(Mutex<State>, Condvar),
     within: Option<Duration>,
     done: impl Fn(&State) -> bool,
 ) -> Option<()> {
     let start = Instant::now();
-    let mut held = state.0.lock().unwrap();
-    while !done(&held) && within.is_none_or(|within| start.elapsed() < within) {
-        held = state.1.wait_timeout(held, LOOK).unwrap().0;
+    let mut guard = state.0.lock().unwrap();
+    while !done(&guard) && within.is_none_or(|within| start.elapsed() < within) {
+        guard = state.1.wait_timeout(guard, POLL_INTERVAL).unwrap().0;
         if is_closed(stream) {
             return None;
         }
@@ -219,7 +220,7 @@
     Some(())
 }
 
-/// The node sends nothing behind its call: a look that finds no more bytes finds the end.
+/// The node sends nothing after its call, so a peek that reads zero bytes means that it has closed.
 fn is_closed(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
     let peeked = stream.peek(&mut [0]);
--- a/tests/node_common/mod.rs
+++ b/tests/node_common/mod.rs
@@ -1,4 +1,4 @@
-//! What a node needs around it, on loopback: cache servers and discovery that do as a test says, and clients.
+//! Test harness for a node on loopback sockets: cache servers and discovery with scripted behaviour, and clients.
 #![allow(dead_code)]
 
 pub mod agent;
@@ -14,28 +14,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far longer than anything here takes: a wait that reaches it has failed.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Far longer than any step of these tests takes: a wait that reaches it has failed.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until `done` holds.
 pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain for: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// An HTTP message as it came: its first line, its headers by lower-case name, its body.
+/// An HTTP message as received: start line, headers by lower-case name, and body.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Message {
-    pub start: String,
+    pub start_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Reads one message; `None` where the connection ends first. A body that breaks off is an error.
+    /// Reads one message; `None` if the connection ends before its headers do. A truncated body is an error.
     pub fn read(stream: &mut BufReader<TcpStream>) -> std::io::Result<Option<Self>> {
         let mut message = Self::default();
         loop {
@@ -45,7 +45,7 @@
             }
             match line.trim_end() {
                 "" => break,
-                line if message.start.is_empty() => message.start = line.to_owned(),
+                line if message.start_line.is_empty() => message.start_line = line.to_owned(),
                 line => {
                     let (name, value) = line.split_once(':').unwrap();
                     message.headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
@@ -63,62 +63,64 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).unwrap().parse().unwrap()
+        self.start_line.split(' ').nth(1).unwrap().parse().unwrap()
     }
 }
 
-pub fn answer(status: &str, headers: &str, body: &str) -> String {
+pub fn http_response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// What a cache server does with a request.
-pub enum Does {
-    /// Writes this and goes on.
-    Answer(String),
+/// How a cache server reacts to a request.
+pub enum Reaction {
+    /// Writes this and keeps the connection open.
+    Respond(String),
     /// Writes this and closes the connection.
-    Close(String),
-    /// Writes this, and once more some milliseconds later; says how long that took.
-    Twice(String, Arc<Mutex<Duration>>),
-    /// Says nothing, until the node closes.
-    Nothing,
-    /// Begins an answer and goes on with it for as long as the node reads.
-    Endless,
+    RespondAndClose(String),
+    /// Writes this, and again 4 ms later; stores the longest time that the two writes took.
+    RespondTwice(String, Arc<Mutex<Duration>>),
+    /// Sends nothing and keeps the connection open.
+    NoResponse,
+    /// Sends a chunked response without end for as long as the node reads.
+    EndlessResponse,
 }
 
-/// A cache server. It keeps what it was asked, in order.
+/// A cache server that records its requests in order.
 pub struct CacheServer {
     pub address: SocketAddr,
-    pub asked: Arc<Mutex<Vec<Message>>>,
+    pub requests: Arc<Mutex<Vec<Message>>>,
     pub connections: Arc<AtomicU32>,
     /// Connections that the node has closed.
     pub closed: Arc<AtomicU32>,
 }
 
 impl CacheServer {
-    pub fn start(does: impl Fn(&Message) -> Does + Send + Sync + 'static) -> Self {
+    pub fn start(react: impl Fn(&Message) -> Reaction + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let server = Self {
             address: listener.local_addr().unwrap(),
-            asked: Arc::default(),
+            requests: Arc::default(),
             connections: Arc::default(),
             closed: Arc::default(),
         };
-        let (asked, connections, closed) =
-            (server.asked.clone(), server.connections.clone(), server.closed.clone());
-        let does = Arc::new(does);
+        let (requests, connections, closed) =
+            (server.requests.clone(), server.connections.clone(), server.closed.clone());
+        let react = Arc::new(react);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 connections.fetch_add(1, Ordering::SeqCst);
-                let (asked, closed, does) = (asked.clone(), closed.clone(), does.clone());
+                let (requests, closed, react) = (requests.clone(), closed.clone(), react.clone());
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     let mut stream = stream;
                     while let Ok(Some(message)) = Message::read(&mut reader) {
-                        asked.lock().unwrap().push(message.clone());
-                        match does(&message) {
-                            Does::Answer(text) => drop(stream.write_all(text.as_bytes())),
-                            Does::Close(text) => return drop(stream.write_all(text.as_bytes())),
-                            Does::Twice(text, took) => {
+                        requests.lock().unwrap().push(message.clone());
+                        match react(&message) {
+                            Reaction::Respond(text) => drop(stream.write_all(text.as_bytes())),
+                            Reaction::RespondAndClose(text) => {
+                                return drop(stream.write_all(text.as_bytes()))
+                            }
+                            Reaction::RespondTwice(text, took) => {
                                 let start = Instant::now();
                                 let _ = stream.write_all(text.as_bytes());
                                 thread::sleep(Duration::from_millis(4));
@@ -126,8 +128,8 @@
                                 let mut took = took.lock().unwrap();
                                 *took = start.elapsed().max(*took);
                             }
-                            Does::Nothing => {}
-                            Does::Endless => {
+                            Reaction::NoResponse => {}
+                            Reaction::EndlessResponse => {
                                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                                 let mut wrote = stream.write_all(head.as_bytes());
                                 while wrote.is_ok() {
@@ -144,107 +146,109 @@
         server
     }
 
-    /// One that serves everything with the same body.
+    /// A server that answers every request with 200 and this body.
     pub fn serving(body: &'static str) -> Self {
-        Self::start(move |_| Does::Answer(answer("200 OK", "", body)))
+        Self::start(move |_| Reaction::Respond(http_response("200 OK", "", body)))
     }
 
-    pub fn count(&self) -> usize {
-        self.asked.lock().unwrap().len()
+    pub fn request_count(&self) -> usize {
+        self.requests.lock().unwrap().len()
     }
 
     pub fn entry(&self, name: &str, health: &str) -> Value {
-        host(name, self.address, health)
+        host_entry(name, self.address, health)
     }
 }
 
-pub fn host(name: &str, dial: SocketAddr, health: &str) -> Value {
+/// A server in the form of a discovery list.
+pub fn host_entry(name: &str, dial: SocketAddr, health: &str) -> Value {
     json!({"host": name, "dial": dial.to_string(), "site": "a", "class": "m2", "block": 0,
            "health": health, "share": 1.0, "born_ms": 0})
 }
 
-struct Lists {
+/// The response of discovery and its version.
+struct List {
     seq: u64,
     body: String,
 }
 
-/// Discovery. It keeps the paths that it was asked for, in order.
+/// A discovery service that answers watches and records the requested paths in order.
 pub struct Discovery {
     pub address: SocketAddr,
-    pub asked: Arc<Mutex<Vec<String>>>,
-    lists: Arc<(Mutex<Lists>, Condvar)>,
+    pub paths: Arc<Mutex<Vec<String>>>,
+    list: Arc<(Mutex<List>, Condvar)>,
 }
 
 impl Discovery {
-    /// Its whole list has version 1.
+    /// Starts with this list as version 1.
     pub fn start(hosts: &[Value]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let body = json!({"seq": 1, "whole": true, "hosts": hosts}).to_string();
-        let lists = Arc::new((Mutex::new(Lists { seq: 1, body }), Condvar::new()));
-        let asked: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (all, log) = (lists.clone(), asked.clone());
+        let list = Arc::new((Mutex::new(List { seq: 1, body }), Condvar::new()));
+        let paths: Arc<Mutex<Vec<String>>> = Arc::default();
+        let (shared_list, shared_paths) = (list.clone(), paths.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (lists, asked) = (all.clone(), log.clone());
+                let (list, paths) = (shared_list.clone(), shared_paths.clone());
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     let mut stream = stream;
                     while let Ok(Some(message)) = Message::read(&mut reader) {
-                        let path = message.start.split(' ').nth(1).unwrap().to_owned();
+                        let path = message.start_line.split(' ').nth(1).unwrap().to_owned();
                         let after =
                             path.split_once("after=").map(|(_, rest)| rest.split('&').next().unwrap());
                         let after = after.map_or(0, |after| after.parse().unwrap());
-                        asked.lock().unwrap().push(path);
-                        let (list, news) = &*lists;
-                        let list = news
-                            .wait_timeout_while(list.lock().unwrap(), PATIENCE, |list| list.seq <= after)
+                        paths.lock().unwrap().push(path);
+                        let (list, changed) = &*list;
+                        let list = changed
+                            .wait_timeout_while(list.lock().unwrap(), WAIT_TIMEOUT, |list| list.seq <= after)
                             .unwrap()
                             .0;
-                        if stream.write_all(answer("200 OK", "", &list.body).as_bytes()).is_err() {
+                        if stream.write_all(http_response("200 OK", "", &list.body).as_bytes()).is_err() {
                             return;
                         }
                     }
                 });
             }
         });
-        Self { address, asked, lists }
+        Self { address, paths, list }
     }
 
-    /// Tells of a whole list, or of changes, with the next version.
-    pub fn tell(&self, whole: bool, hosts: &[Value]) {
-        let seq = self.lists.0.lock().unwrap().seq + 1;
-        self.tell_text(json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string());
+    /// Publishes a whole list, or changes, as the next version.
+    pub fn publish(&self, whole: bool, hosts: &[Value]) {
+        let seq = self.list.0.lock().unwrap().seq + 1;
+        self.publish_text(json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string());
     }
 
-    /// Answers what is out, and what comes until the next word, with this text.
-    pub fn tell_text(&self, body: String) {
-        let mut lists = self.lists.0.lock().unwrap();
-        *lists = Lists { seq: lists.seq + 1, body };
-        self.lists.1.notify_all();
+    /// Answers open watches, and calls until the next update, with this text as the body.
+    pub fn publish_text(&self, body: String) {
+        let mut list = self.list.0.lock().unwrap();
+        *list = List { seq: list.seq + 1, body };
+        self.list.1.notify_all();
     }
 
     pub fn calls(&self) -> usize {
-        self.asked.lock().unwrap().len()
+        self.paths.lock().unwrap().len()
     }
 
-    /// Waits until the node has taken in the list of this version: it then watches for what comes after.
-    pub fn wait_until_told(&self, seq: u64) {
+    /// Waits until the node has applied the list of this version: it then watches for later ones.
+    pub fn wait_until_applied(&self, seq: u64) {
         let next = format!("after={seq}&");
-        wait_for("the next watch", || self.asked.lock().unwrap().iter().any(|path| path.contains(&next)));
+        wait_for("the next watch", || self.paths.lock().unwrap().iter().any(|path| path.contains(&next)));
     }
 }
 
-/// A running node; it is killed with the test.
+/// A running node process, killed on drop.
 pub struct Node {
     pub address: SocketAddr,
     pub child: Child,
-    /// What it has written so far, its first line left out.
+    /// Its log so far, without the lines up to the one that names its address.
     pub log: Arc<Mutex<String>>,
     config: std::path::PathBuf,
 }
 
-/// The configuration of a node that knows nothing but discovery.
+/// The configuration of a node that has only the address of discovery and no initial list.
 pub fn config(discovery: SocketAddr) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "dedup_scope": "all", "promise_us": 5_000_000,
@@ -264,14 +268,14 @@
     })
 }
 
-/// The configuration of a node to which lists are pushed, by an agent on its own machine.
-pub fn pushed(agent: SocketAddr) -> Value {
+/// The configuration of a node that gets its lists by push, from an agent on its own machine.
+pub fn push_config(agent: SocketAddr) -> Value {
     let mut config = config(agent);
     config["settings"]["membership_mode"] = "automatic".into();
     config
 }
 
-/// The same with another deadline of all classes, which a stop's length follows.
+/// Sets the hard deadline of all classes, which determines how long a shutdown takes.
 pub fn with_deadlines(mut config: Value, deadline_us: u64) -> Value {
     for lane in config["settings"]["lanes"].as_array_mut().unwrap() {
         lane["hard_limit_us"] = deadline_us.into();
@@ -279,13 +283,14 @@
     config
 }
 
-/// A configuration of a node whose stop takes under two seconds: it closes after 0.9 s and is gone after 1.65 s.
-pub fn quick_stop(discovery: SocketAddr) -> Value {
+/// The configuration of a node whose shutdown takes under two seconds: it starts closing connections after 0.9 s and
+/// exits after 1.65 s.
+pub fn fast_shutdown_config(discovery: SocketAddr) -> Value {
     with_deadlines(config(discovery), 1_000_000)
 }
 
-/// The patience of clients that wait for ten minutes.
-pub const MINUTES: u64 = 600_000;
+/// The deadline of clients that wait for ten minutes.
+pub const TEN_MINUTES_MS: u64 = 600_000;
 
 static CONFIGS: AtomicU32 = AtomicU32::new(0);
 
@@ -296,7 +301,8 @@
     path
 }
 
-/// The program, which stands beside the folder of the tests where these are another package's.
+/// The path of the node's program. Tests of another package find it in the parent of their own
+/// directory.
 fn program() -> std::path::PathBuf {
     let own = option_env!("CARGO_BIN_EXE_walkpick").map(std::path::PathBuf::from);
     own.unwrap_or_else(|| {
@@ -316,30 +322,30 @@
 impl Node {
     /// Starts a node and waits until it listens.
     pub fn start(config: &Value) -> Self {
-        Self::start_by(command(), config)
+        Self::start_with(command(), config)
     }
 
-    /// The same, started by a command that ends in the node.
-    pub fn start_by(mut command: Command, config: &Value) -> Self {
+    /// Starts a node through this command and waits until it listens.
+    pub fn start_with(mut command: Command, config: &Value) -> Self {
         let path = write_config(&config.to_string());
         let mut child = command.env("LB_CONFIG", &path).stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let mut line = String::new();
         while !line.contains(" listens on ") {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "the node ends before it listens");
+            assert!(log.read_line(&mut line).unwrap() > 0, "the node exited before it listened");
         }
         let address = line.trim_end().rsplit(' ').next().unwrap().parse();
-        let address = address.unwrap_or_else(|_| panic!("the node's line: {line}"));
-        // The rest of its log must not fill the pipe.
-        let written: Arc<Mutex<String>> = Arc::default();
-        let kept = written.clone();
+        let address = address.unwrap_or_else(|_| panic!("no address in the log line: {line}"));
+        // Reads the rest of the log, so that the node never blocks on a full pipe.
+        let log_text: Arc<Mutex<String>> = Arc::default();
+        let log_sink = log_text.clone();
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                kept.lock().unwrap().push_str(&(line + "\n"));
+                log_sink.lock().unwrap().push_str(&(line + "\n"));
             }
         });
-        Self { address, child, log: written, config: path }
+        Self { address, child, log: log_text, config: path }
     }
 
     /// Starts a node and waits until it is ready for clients.
@@ -351,26 +357,26 @@
 
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Client::new(stream)
     }
 
     pub fn get(&self, path: &str) -> Message {
-        self.client().ask(&format!("GET {path} HTTP/1.1\r\nHost: s\r\n\r\n"))
+        self.client().request(&format!("GET {path} HTTP/1.1\r\nHost: s\r\n\r\n"))
     }
 
-    /// What it says on `/healthz`; `None` where the connection breaks.
+    /// The status of `/healthz`; `None` if the connection breaks.
     pub fn health(&self) -> Option<u16> {
-        let answer = self.client().try_ask("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n");
-        answer.map(|answer| answer.status())
+        let response = self.client().try_request("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n");
+        response.map(|response| response.status())
     }
 
-    /// One read on a connection of its own.
+    /// Sends a GET of this class on a new connection.
     pub fn read(&self, class: &str, key: u64) -> Message {
-        self.client().ask(&read(class, key, 20_000))
+        self.client().request(&get_request(class, key, 20_000))
     }
 
-    /// Waits until it has written this to its log.
+    /// Waits until the log contains this text.
     pub fn wait_until_logged(&self, text: &str) {
         wait_for(text, || self.log.lock().unwrap().contains(text));
     }
@@ -379,19 +385,19 @@
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration file and says nothing.
+    /// Replaces the configuration file without a signal.
     pub fn replace_config(&self, text: &str) {
         std::fs::write(&self.config, text).unwrap();
     }
 
-    /// Replaces the configuration file and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         self.replace_config(text);
         self.signal("-HUP");
     }
 
-    pub fn signal(&self, which: &str) {
-        let sent = Command::new("kill").args([which, &self.child.id().to_string()]).status().unwrap();
+    pub fn signal(&self, signal: &str) {
+        let sent = Command::new("kill").args([signal, &self.child.id().to_string()]).status().unwrap();
         assert!(sent.success());
     }
 
@@ -407,14 +413,15 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // It may have exited by itself.
+        // Fails if the node has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.config);
     }
 }
 
-pub fn read(class: &str, key: u64, deadline_ms: u64) -> String {
+/// The text of a GET request of this class.
+pub fn get_request(class: &str, key: u64, deadline_ms: u64) -> String {
     format!(
         "GET /api/{key:016x} HTTP/1.1\r\nHost: s\r\nReq-Id: {key:x}\r\nReq-Kind: {class}\r\n\
          Req-Deadline-Ms: {deadline_ms}\r\n\r\n"
@@ -433,33 +440,34 @@
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Closes with a reset.
+    /// Closes with a TCP reset.
     pub fn reset(self) {
         script::reset(self.0.into_inner());
     }
 
-    /// Sends no more: the node sees that the client has gone.
-    pub fn leave(&self) {
+    /// Closes the sending direction; the node treats the client as disconnected.
+    pub fn shutdown_write(&self) {
         self.0.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
     }
 
-    /// The next answer; `None` where the node closes the connection first.
-    pub fn answer(&mut self) -> Option<Message> {
+    /// The next response; `None` if the node closes the connection first.
+    pub fn read_response(&mut self) -> Option<Message> {
         match Message::read(&mut self.0) {
             Ok(message) => message,
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => None,
-            Err(error) => panic!("no answer: {error}"),
+            Err(error) => panic!("cannot read a response: {error}"),
         }
     }
 
-    /// `None` where the node has closed the connection.
-    pub fn try_ask(&mut self, text: &str) -> Option<Message> {
+    /// Sends a request and reads its response; `None` if the node has closed the connection.
+    pub fn try_request(&mut self, text: &str) -> Option<Message> {
         self.0.get_mut().write_all(text.as_bytes()).ok()?;
-        self.answer()
+        self.read_response()
     }
 
-    pub fn ask(&mut self, text: &str) -> Message {
+    /// Sends a request and reads its response.
+    pub fn request(&mut self, text: &str) -> Message {
         self.send(text);
-        self.answer().expect("an answer")
+        self.read_response().expect("a response")
     }
 }
--- a/tests/node_common/script.rs
+++ b/tests/node_common/script.rs
@@ -1,24 +1,23 @@
-//! Peers of a node that do nothing by themselves: a test says what each does next, and so in which order two events
-//! meet.
+//! Scripted peers of a node: a test decides each of their steps and so controls the order of concurrent events.
 
 use super::*;
 use std::net::Shutdown;
 
-/// What a node connects to: a cache server, or discovery.
-pub struct Scripted {
+/// A cache server or discovery that acts only as the test directs.
+pub struct ScriptedPeer {
     pub address: SocketAddr,
     listener: TcpListener,
 }
 
-impl Scripted {
+impl ScriptedPeer {
     pub fn bind() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         Self { address: listener.local_addr().unwrap(), listener }
     }
 
-    /// One that takes a single connection which nobody has accepted: further ones come up once that is.
-    pub fn bind_full() -> (Self, TcpStream) {
-        let Reserved { address, socket } = Reserved::bind();
+    /// A listener whose backlog is full: further connections are established only once the first has been accepted.
+    pub fn bind_with_full_backlog() -> (Self, TcpStream) {
+        let ReservedAddress { address, socket } = ReservedAddress::bind();
         socket.listen(0).unwrap();
         let scripted = Self { address, listener: socket.into() };
         let filler = TcpStream::connect(scripted.address).unwrap();
@@ -26,16 +25,16 @@
     }
 
     pub fn entry(&self, name: &str, health: &str) -> Value {
-        host(name, self.address, health)
+        host_entry(name, self.address, health)
     }
 
-    /// The next connection that the node has opened.
-    pub fn accept(&self) -> Scene {
-        self.accept_within(PATIENCE).expect("a connection of the node's")
+    /// Accepts the next connection from the node.
+    pub fn accept(&self) -> ScriptedConnection {
+        self.accept_within(WAIT_TIMEOUT).expect("a connection from the node")
     }
 
-    /// Whether a connection comes within this time.
-    pub fn accept_within(&self, time: Duration) -> Option<Scene> {
+    /// Accepts a connection that arrives within this time.
+    pub fn accept_within(&self, time: Duration) -> Option<ScriptedConnection> {
         let start = Instant::now();
         self.listener.set_nonblocking(true).unwrap();
         let accepted = loop {
@@ -48,74 +47,74 @@
         self.listener.set_nonblocking(false).unwrap();
         accepted.map(|stream| {
             stream.set_nonblocking(false).unwrap();
-            stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
             stream.set_nodelay(true).unwrap();
-            Scene(BufReader::new(stream))
+            ScriptedConnection(BufReader::new(stream))
         })
     }
 }
 
-/// An address that is kept and where nobody listens yet: whoever connects is refused.
-pub struct Reserved {
+/// A bound address without a listener: connections to it are refused.
+pub struct ReservedAddress {
     pub address: SocketAddr,
     socket: socket2::Socket,
 }
 
-impl Reserved {
+impl ReservedAddress {
     pub fn bind() -> Self {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
         Self { address: socket.local_addr().unwrap().as_socket().unwrap(), socket }
     }
 
-    /// From here on connections come up.
+    /// Starts listening, so that connections succeed.
     pub fn listen(self) -> TcpListener {
         self.socket.listen(128).unwrap();
         self.socket.into()
     }
 }
 
-/// One connection of the node's.
-pub struct Scene(BufReader<TcpStream>);
+/// A connection from the node, driven by the test.
+pub struct ScriptedConnection(BufReader<TcpStream>);
 
-impl Scene {
-    /// What the node sends next; `None` where it closes.
-    pub fn hear(&mut self) -> Option<Message> {
+impl ScriptedConnection {
+    /// The next message from the node; `None` if it closes the connection.
+    pub fn receive(&mut self) -> Option<Message> {
         Message::read(&mut self.0).unwrap_or(None)
     }
 
-    /// The id of the next request on it.
-    pub fn hear_id(&mut self) -> Option<String> {
-        self.hear().and_then(|message| message.header("req-id").map(str::to_owned))
+    /// The id of the next request on this connection.
+    pub fn receive_id(&mut self) -> Option<String> {
+        self.receive().and_then(|message| message.header("req-id").map(str::to_owned))
     }
 
-    /// The same, with a usual answer to it.
-    pub fn hear_id_then_serve(mut self) -> Option<String> {
-        let id = self.hear_id()?;
-        self.serve("value");
+    /// Receives a request and answers it with 200; returns its id.
+    pub fn receive_id_and_respond(mut self) -> Option<String> {
+        let id = self.receive_id()?;
+        self.respond("value");
         Some(id)
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    pub fn serve(&mut self, body: &str) {
-        self.say(&answer("200 OK", "", body));
+    pub fn respond(&mut self, body: &str) {
+        self.send(&http_response("200 OK", "", body));
     }
 
-    /// Ends its sending.
-    pub fn end(&self) {
+    /// Closes the sending direction.
+    pub fn shutdown_write(&self) {
         self.0.get_ref().shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Closes so that the node sees a reset.
+    /// Closes with a TCP reset.
     pub fn reset(self) {
         reset(self.0.into_inner());
     }
 }
 
-/// Closes a connection with a reset.
+/// Closes a connection with a TCP reset.
 pub fn reset(stream: TcpStream) {
     let socket = socket2::Socket::from(stream);
     socket.set_linger(Some(Duration::ZERO)).unwrap();
--- a/tests/node_discovery.rs
+++ b/tests/node_discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that fails in every way, on loopback sockets: what it has and can be reached for is acted on in time.
+//! Failures of discovery, on loopback sockets: once it can be reached again, its changes are applied in time.
 
 mod node_common;
 
@@ -10,66 +10,70 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A change that discovery has and can be reached for counts as told by then, and after SIGHUP by then.
-const TOLD: Duration = Duration::from_secs(6);
-const TOLD_AFTER_SIGHUP: Duration = Duration::from_secs(4);
-/// A restarted node is ready within this time.
-const READY: Duration = Duration::from_secs(10);
+/// A change must be applied within this time after discovery has it and can be reached.
+const APPLIED_WITHIN: Duration = Duration::from_secs(6);
+/// The same limit for a change of the discovery address, from SIGHUP on.
+const APPLIED_WITHIN_AFTER_SIGHUP: Duration = Duration::from_secs(4);
+/// A restarted node must be ready within this time.
+const READY_WITHIN: Duration = Duration::from_secs(10);
 
-/// What discovery does with a call that comes now.
+/// How discovery answers calls.
 #[derive(Clone, Debug)]
-enum Mood {
-    /// Answers with this list, after so long.
-    Lists(String, Duration),
+enum Mode {
+    /// Sends this list after a delay.
+    List(String, Duration),
+    /// Sends nothing and keeps the connection open.
     Silent,
-    /// Half an answer, and no more.
-    Half,
-    /// Half an answer, and a reset.
-    Breaks,
-    /// A byte now and then, without an end.
-    Trickles,
-    Refuses,
-    NoList,
+    /// Sends part of a response, and then nothing.
+    Partial,
+    /// Sends part of a response, and then resets the connection.
+    PartialThenReset,
+    /// Sends a byte every 50 ms, without end.
+    Trickle,
+    /// Answers with 503.
+    Unavailable,
+    /// Answers with 200 and a body that is not valid JSON.
+    InvalidList,
 }
 
-/// Discovery whose mood a test changes.
-struct Moody {
+/// Discovery whose behaviour a test can change.
+struct FaultyDiscovery {
     address: SocketAddr,
-    mood: Arc<Mutex<Mood>>,
-    /// When each call came.
+    mode: Arc<Mutex<Mode>>,
+    /// When each call was received.
     calls: Arc<Mutex<Vec<Instant>>>,
 }
 
-impl Moody {
-    fn start(mood: Mood) -> Self {
-        Self::listen(TcpListener::bind("127.0.0.1:0").unwrap(), mood)
+impl FaultyDiscovery {
+    fn start(mode: Mode) -> Self {
+        Self::listen(TcpListener::bind("127.0.0.1:0").unwrap(), mode)
     }
 
-    fn listen(listener: TcpListener, mood: Mood) -> Self {
-        let (address, mood) = (listener.local_addr().unwrap(), Arc::new(Mutex::new(mood)));
-        let moody = Self { address, mood, calls: Arc::default() };
-        let (mood, calls) = (moody.mood.clone(), moody.calls.clone());
+    fn listen(listener: TcpListener, mode: Mode) -> Self {
+        let (address, mode) = (listener.local_addr().unwrap(), Arc::new(Mutex::new(mode)));
+        let discovery = Self { address, mode, calls: Arc::default() };
+        let (mode, calls) = (discovery.mode.clone(), discovery.calls.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (mood, calls) = (mood.clone(), calls.clone());
+                let (mode, calls) = (mode.clone(), calls.clone());
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     let mut stream = stream;
                     while let Ok(Some(_)) = Message::read(&mut reader) {
-                        let now = mood.lock().unwrap().clone();
+                        let current = mode.lock().unwrap().clone();
                         calls.lock().unwrap().push(Instant::now());
-                        if !answer_in(&now, &mut stream) {
+                        if !answer_call(&current, &mut stream) {
                             return;
                         }
                     }
                 });
             }
         });
-        moody
+        discovery
     }
 
-    fn becomes(&self, mood: Mood) {
-        *self.mood.lock().unwrap() = mood;
+    fn set_mode(&self, mode: Mode) {
+        *self.mode.lock().unwrap() = mode;
     }
 
     fn calls(&self) -> usize {
@@ -77,33 +81,34 @@
     }
 }
 
-/// `false` where the connection is over.
-fn answer_in(mood: &Mood, stream: &mut TcpStream) -> bool {
-    let half = "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"seq\":2,\"whole\":true,\"hosts\":[";
-    match mood {
-        Mood::Lists(list, after) => {
+/// Answers one call; `false` if the connection has ended.
+fn answer_call(mode: &Mode, stream: &mut TcpStream) -> bool {
+    let partial = "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"seq\":2,\"whole\":true,\"hosts\":[";
+    match mode {
+        Mode::List(list, after) => {
             thread::sleep(*after);
-            stream.write_all(answer("200 OK", "", list).as_bytes()).is_ok()
+            stream.write_all(http_response("200 OK", "", list).as_bytes()).is_ok()
         }
-        // Nobody answers on this connection any more, and it stays open.
-        Mood::Silent => true,
-        Mood::Half => stream.write_all(half.as_bytes()).is_ok(),
-        Mood::Breaks => {
-            let _ = stream.write_all(half.as_bytes());
+        Mode::Silent => true,
+        Mode::Partial => stream.write_all(partial.as_bytes()).is_ok(),
+        Mode::PartialThenReset => {
+            let _ = stream.write_all(partial.as_bytes());
             script::reset(stream.try_clone().unwrap());
             let _ = stream.shutdown(std::net::Shutdown::Both);
             false
         }
-        Mood::Trickles => {
-            let mut wrote = stream.write_all(half.as_bytes());
+        Mode::Trickle => {
+            let mut wrote = stream.write_all(partial.as_bytes());
             while wrote.is_ok() {
                 thread::sleep(Duration::from_millis(50));
                 wrote = stream.write_all(b" ");
             }
             false
         }
-        Mood::Refuses => stream.write_all(answer("503 Service Unavailable", "", "").as_bytes()).is_ok(),
-        Mood::NoList => stream.write_all(answer("200 OK", "", "{\"seq\":").as_bytes()).is_ok(),
+        Mode::Unavailable => {
+            stream.write_all(http_response("503 Service Unavailable", "", "").as_bytes()).is_ok()
+        }
+        Mode::InvalidList => stream.write_all(http_response("200 OK", "", "{\"seq\":").as_bytes()).is_ok(),
     }
 }
 
@@ -111,16 +116,16 @@
     json!({"seq": seq, "whole": true, "hosts": hosts}).to_string()
 }
 
-/// A node that holds a list of one server, and the list that moves it to another.
-struct Change {
+/// A node that has a list of one server, and a list that drains that server and adds another.
+struct ChangeTest {
     node: Node,
     before: String,
     after: String,
     _servers: [CacheServer; 2],
 }
 
-impl Change {
-    fn ahead(discovery: SocketAddr) -> Self {
+impl ChangeTest {
+    fn start(discovery: SocketAddr) -> Self {
         let servers = [CacheServer::serving("old"), CacheServer::serving("new")];
         let (old, new) = (|state| servers[0].entry("s-old", state), servers[1].entry("s-new", "ready"));
         let mut config = config(discovery);
@@ -130,131 +135,139 @@
         Self { node, before, after, _servers: servers }
     }
 
-    /// How long after this moment the node acts on the change.
-    fn acted_on(&self, since: Instant) -> Duration {
+    /// Waits until the node acts on the change; returns the time since `since`.
+    fn wait_until_applied(&self, since: Instant) -> Duration {
         for key in 1.. {
             let served = self.node.read("read", key);
             if served.body == b"new" {
                 break;
             }
-            assert!(since.elapsed() < PATIENCE, "the change is never acted on");
+            assert!(since.elapsed() < WAIT_TIMEOUT, "the change is never applied");
             thread::sleep(Duration::from_millis(10));
         }
         since.elapsed()
     }
 }
 
-const AT_ONCE: Duration = Duration::ZERO;
+const NO_DELAY: Duration = Duration::ZERO;
 
-/// The watch that is out when the change comes meets this, and so does every call for so long after it.
-fn after_a_mood(mood: Mood, lasts: Duration) -> Duration {
-    let discovery = Moody::start(Mood::Silent);
-    let change = Change::ahead(discovery.address);
-    // The first watch is answered, and the next one is out in the mood.
+/// Puts discovery into this mode under an open watch and keeps it there for `lasts`; returns how long after the end of the
+/// mode the node applies a change.
+fn time_to_apply_after(mode: Mode, lasts: Duration) -> Duration {
+    let discovery = FaultyDiscovery::start(Mode::Silent);
+    let change = ChangeTest::start(discovery.address);
+    // The first watch is answered with the old list, and the next one meets the failure.
     wait_for("a call", || discovery.calls() > 0);
-    discovery.becomes(Mood::Lists(change.before.clone(), AT_ONCE));
-    let asked = discovery.calls();
-    wait_for("an answered call", || discovery.calls() > asked);
-    discovery.becomes(mood);
-    let asked = discovery.calls();
-    wait_for("a call in that mood", || discovery.calls() > asked);
+    discovery.set_mode(Mode::List(change.before.clone(), NO_DELAY));
+    let calls_before = discovery.calls();
+    wait_for("an answered call", || discovery.calls() > calls_before);
+    discovery.set_mode(mode);
+    let calls_before = discovery.calls();
+    wait_for("a call in that mode", || discovery.calls() > calls_before);
     thread::sleep(lasts);
-    // From here on it has the change and answers whoever calls.
-    let had = Instant::now();
-    discovery.becomes(Mood::Lists(change.after.clone(), AT_ONCE));
-    change.acted_on(had)
+    // From now on discovery has the change and answers every call.
+    let available = Instant::now();
+    discovery.set_mode(Mode::List(change.after.clone(), NO_DELAY));
+    change.wait_until_applied(available)
 }
 
-// Guards against a change that the node hears of late after a call which failed in any way, once or for some time.
+// Guards against a change that is applied late after failed calls, whether one call failed or all for 4 s.
 #[test]
-fn a_change_is_acted_on_in_time_whatever_failed_before() {
-    let moods = [Mood::Silent, Mood::Half, Mood::Breaks, Mood::Trickles, Mood::Refuses, Mood::NoList];
-    let cases = moods.into_iter().flat_map(|mood| [0, 4].map(|lasts| (mood.clone(), lasts)));
-    let plays = cases.map(|(mood, lasts)| {
-        let name = format!("{mood:?} for {lasts} s");
-        (name, thread::spawn(move || after_a_mood(mood, Duration::from_secs(lasts))))
+fn a_change_is_applied_in_time_after_any_failure_of_a_call() {
+    let modes = [
+        Mode::Silent,
+        Mode::Partial,
+        Mode::PartialThenReset,
+        Mode::Trickle,
+        Mode::Unavailable,
+        Mode::InvalidList,
+    ];
+    let cases = modes.into_iter().flat_map(|mode| [0, 4].map(|lasts| (mode.clone(), lasts)));
+    let runs = cases.map(|(mode, lasts)| {
+        let name = format!("{mode:?} for {lasts} s");
+        (name, thread::spawn(move || time_to_apply_after(mode, Duration::from_secs(lasts))))
     });
-    for (name, play) in plays.collect::<Vec<_>>() {
-        let took = play.join().expect("a change that is acted on");
-        println!("{name}: acted on after {took:?}");
-        assert!(took < TOLD, "{name}: acted on after {took:?}");
+    for (name, run) in runs.collect::<Vec<_>>() {
+        let took = run.join().expect("the change is applied");
+        println!("{name}: applied after {took:?}");
+        assert!(took < APPLIED_WITHIN, "{name}: applied after {took:?}");
     }
 }
 
-// Guards against an outage in which nobody listens, and a node that has backed off too far when it is over.
+// Guards against a backoff that has grown too long when an outage with refused connections ends.
 #[test]
-fn a_change_is_acted_on_in_time_after_an_outage() {
-    let down = script::Reserved::bind();
-    let change = Change::ahead(down.address);
+fn a_change_is_applied_in_time_after_refused_connections() {
+    let reserved = script::ReservedAddress::bind();
+    let change = ChangeTest::start(reserved.address);
     thread::sleep(Duration::from_secs(4));
-    let back = Instant::now();
-    let _discovery = Moody::listen(down.listen(), Mood::Lists(change.after.clone(), AT_ONCE));
-    let took = change.acted_on(back);
-    assert!(took < TOLD, "acted on after {took:?}");
+    let reachable = Instant::now();
+    let _discovery = FaultyDiscovery::listen(reserved.listen(), Mode::List(change.after.clone(), NO_DELAY));
+    let took = change.wait_until_applied(reachable);
+    assert!(took < APPLIED_WITHIN, "applied after {took:?}");
 }
 
-// Guards against a reload that waits for a call to the old address, or for the pause after one that failed there.
+// Guards against a reload that waits for a call to the old address, or for the backoff after one that failed there.
 #[test]
-fn a_change_at_a_new_address_is_acted_on_in_time_after_the_signal() {
-    for mood in [Mood::Silent, Mood::Refuses, Mood::Trickles] {
-        let old = Moody::start(mood);
-        let change = Change::ahead(old.address);
+fn a_change_at_a_new_address_is_applied_in_time_after_sighup() {
+    for mode in [Mode::Silent, Mode::Unavailable, Mode::Trickle] {
+        let old = FaultyDiscovery::start(mode);
+        let change = ChangeTest::start(old.address);
         wait_for("a call", || old.calls() > 0);
-        let new = Moody::start(Mood::Lists(change.after.clone(), AT_ONCE));
-        let told = Instant::now();
+        let new = FaultyDiscovery::start(Mode::List(change.after.clone(), NO_DELAY));
+        let signalled = Instant::now();
         change.node.reload(&config(new.address).to_string());
-        let took = change.acted_on(told);
-        assert!(took < TOLD_AFTER_SIGHUP, "acted on after {took:?}");
+        let took = change.wait_until_applied(signalled);
+        assert!(took < APPLIED_WITHIN_AFTER_SIGHUP, "applied after {took:?}");
     }
 }
 
-// Guards against calls that follow each other without a pause while discovery fails at once.
+// Guards against a tight loop of calls while discovery fails immediately.
 #[test]
-fn discovery_that_fails_at_once_is_not_called_without_end() {
-    let discovery = Moody::start(Mood::Refuses);
-    let _change = Change::ahead(discovery.address);
+fn calls_to_a_discovery_that_fails_immediately_back_off() {
+    let discovery = FaultyDiscovery::start(Mode::Unavailable);
+    let _change = ChangeTest::start(discovery.address);
     wait_for("some calls", || discovery.calls() >= 4);
     let calls = discovery.calls.lock().unwrap().clone();
-    let apart = calls[3] - calls[0];
-    assert!(apart >= Duration::from_secs(3), "three pauses of a second and more: {apart:?}");
+    let elapsed = calls[3] - calls[0];
+    assert!(elapsed >= Duration::from_secs(3), "three pauses of less than a second each: {elapsed:?}");
 }
 
-/// How long after its start a node is ready that knows nothing and whose discovery is in this mood for so long, or
-/// answers with `lists` after `slow`. It must not say so before it has a list with a server in it.
-fn ready_after(mood: Mood, lasts: Duration, slow: Duration) -> Duration {
+/// How long a node without an initial list takes to become ready, with discovery in this mode for `lasts` and sending its
+/// list after the delay `slow` from then on. The node must not report readiness before it has a server.
+fn time_to_ready(mode: Mode, lasts: Duration, slow: Duration) -> Duration {
     let server = CacheServer::serving("value");
     let hosts: Vec<_> = (0..1_024).map(|i| server.entry(&format!("s-{i:04}"), "ready")).collect();
-    let discovery = Moody::start(mood);
+    let discovery = FaultyDiscovery::start(mode);
     let start = Instant::now();
     let node = Node::start(&config(discovery.address));
     wait_for("a call", || discovery.calls() > 0);
     while start.elapsed() < lasts {
-        assert_eq!(node.get("/healthz").status(), 503, "ready with no list");
+        assert_eq!(node.get("/healthz").status(), 503, "ready without a list");
         thread::sleep(Duration::from_millis(50));
     }
-    discovery.becomes(Mood::Lists(list(1, &hosts), slow));
+    discovery.set_mode(Mode::List(list(1, &hosts), slow));
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
     let took = start.elapsed();
-    assert_eq!(node.read("read", 1).body, b"value", "ready is able to serve");
+    assert_eq!(node.read("read", 1).body, b"value", "a ready node serves");
     took
 }
 
-// Guards against a restarted node that is ready late, or that says it is while it can serve nobody.
+// Guards against a restarted node that is ready late, or that reports readiness while it cannot serve.
 #[test]
-fn a_node_that_knows_nothing_is_ready_in_time_with_1024_servers() {
+fn a_node_without_a_list_is_ready_in_time_with_1024_servers() {
     let seconds = Duration::from_secs;
     let cases = [
-        ("silent for the first call", Mood::Silent, seconds(0), AT_ONCE),
-        ("late", Mood::Lists(list(0, &[]), AT_ONCE), seconds(3), AT_ONCE),
-        ("slow", Mood::Silent, seconds(0), seconds(2)),
-        ("refusing", Mood::Refuses, seconds(3), AT_ONCE),
-        ("cut off within its list", Mood::Half, seconds(0), AT_ONCE),
+        ("silent for the first call", Mode::Silent, seconds(0), NO_DELAY),
+        ("late", Mode::List(list(0, &[]), NO_DELAY), seconds(3), NO_DELAY),
+        ("slow", Mode::Silent, seconds(0), seconds(2)),
+        ("unavailable", Mode::Unavailable, seconds(3), NO_DELAY),
+        ("partial list", Mode::Partial, seconds(0), NO_DELAY),
     ];
-    let plays =
-        cases.map(|(name, mood, lasts, slow)| (name, thread::spawn(move || ready_after(mood, lasts, slow))));
-    for (name, play) in plays {
-        let took = play.join().expect("a node that gets ready");
+    let runs = cases
+        .map(|(name, mode, lasts, slow)| (name, thread::spawn(move || time_to_ready(mode, lasts, slow))));
+    for (name, run) in runs {
+        let took = run.join().expect("the node becomes ready");
         println!("{name}: ready after {took:?}");
-        assert!(took < READY, "{name}: ready after {took:?}");
+        assert!(took < READY_WITHIN, "{name}: ready after {took:?}");
     }
 }
--- a/tests/node_lifecycle.rs
+++ b/tests/node_lifecycle.rs
@@ -1,4 +1,4 @@
-//! How the node starts and stops, on loopback sockets.
+//! Start, reload and shutdown of a node, on loopback sockets.
 
 mod node_common;
 
@@ -6,113 +6,113 @@
 use std::process::Command;
 use std::sync::{Arc, Condvar, Mutex};
 
-// Guards against a planned restart that loses what was taken.
+// Guards against a planned restart that loses accepted requests.
 #[test]
-fn a_terminated_node_finishes_what_it_took_and_exits_well() {
+fn a_terminated_node_answers_accepted_requests_and_exits_with_success() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
-    let held = gate.clone();
-    let server = CacheServer::start(move |asked| {
-        if asked.header("req-id") == Some("1") {
-            let open = held.0.lock().unwrap();
-            drop(held.1.wait_timeout_while(open, PATIENCE, |open| !*open).unwrap());
+    let server_gate = gate.clone();
+    let server = CacheServer::start(move |request| {
+        if request.header("req-id") == Some("1") {
+            let open = server_gate.0.lock().unwrap();
+            drop(server_gate.1.wait_timeout_while(open, WAIT_TIMEOUT, |open| !*open).unwrap());
         }
-        Does::Answer(answer("200 OK", "", "value"))
+        Reaction::Respond(http_response("200 OK", "", "value"))
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut waiting, mut idle) = (node.client(), node.client());
-    waiting.send(&read("read", 1, 60_000));
-    wait_for("the first request", || server.count() == 1);
-    let served = idle.ask(&read("read", 2, 20_000));
+    waiting.send(&get_request("read", 1, 60_000));
+    wait_for("the first request", || server.request_count() == 1);
+    let served = idle.request(&get_request("read", 2, 20_000));
     assert_eq!((served.status(), served.header("connection")), (200, None));
     node.terminate();
-    // An idle connection ends when the node has stopped accepting; what it took before is still out.
-    assert_eq!(idle.answer(), None);
+    // Idle connections are closed once the node has stopped accepting; the request accepted before is still in flight.
+    assert_eq!(idle.read_response(), None);
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
-    let served = waiting.answer().expect("the answer to what was taken");
+    let served = waiting.read_response().expect("the response to the accepted request");
     assert_eq!((served.status(), &served.body[..]), (200, &b"value"[..]));
     assert_eq!(served.header("connection"), Some("close"));
     assert!(node.exit().success());
 }
 
-// Guards against sending clients away while the front may have no other node for them yet.
+// Guards against `Connection: close` before the load balancer in front has noticed that the node is leaving.
 #[test]
-fn a_leaving_node_serves_on_kept_connections() {
+fn a_leaving_node_keeps_serving_on_open_connections() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let config = with_deadlines(config(discovery.address), 3_000_000);
-    // A machine that is too busy may see the node close before it asks: then it asks another one.
-    let kept = (0..10).any(|_| {
+    // On a busy machine the node may close before the test sends its request: then it tries another node.
+    let kept_open = (0..10).any(|_| {
         let node = Node::ready(&config);
-        let (mut client, mut front) = (node.client(), node.client());
-        assert_eq!(client.ask(&read("read", 1, 20_000)).status(), 200);
+        let (mut client, mut health_checker) = (node.client(), node.client());
+        assert_eq!(client.request(&get_request("read", 1, 20_000)).status(), 200);
         node.terminate();
         let health = "GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n";
-        while front.try_ask(health).is_some_and(|answer| answer.status() == 200) {}
-        let answered = client.try_ask(&read("read", 2, 20_000));
-        answered.is_some_and(|answer| answer.status() == 200 && answer.header("connection").is_none())
+        while health_checker.try_request(health).is_some_and(|response| response.status() == 200) {}
+        let response = client.try_request(&get_request("read", 2, 20_000));
+        response.is_some_and(|response| response.status() == 200 && response.header("connection").is_none())
     });
-    assert!(kept, "every answer of a leaving node asked its client to go");
+    assert!(kept_open, "every response of a leaving node asked its client to close");
 }
 
-// Guards against a kill that finds a request open: a client's own patience may be longer than the node's time.
+// Guards against a kill while a request is in flight: a client's deadline may be later than the end of the shutdown.
 #[test]
-fn a_terminated_node_answers_all_it_took_before_its_own_time_is_up() {
-    let server = CacheServer::start(|_| Does::Nothing);
+fn a_terminated_node_answers_all_accepted_requests_before_it_exits() {
+    let server = CacheServer::start(|_| Reaction::NoResponse);
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&quick_stop(discovery.address));
-    let (mut before, mut half) = (node.client(), node.client());
-    before.send(&read("once", 1, MINUTES));
-    half.send("PUT /api/2 HTTP/1.1\r\nHost: s\r\nReq-Id: 2\r\nReq-Kind: once\r\nContent-Length: 9\r\n");
-    wait_for("the first request", || server.count() == 1);
+    let node = Node::ready(&fast_shutdown_config(discovery.address));
+    let (mut accepted, mut incomplete) = (node.client(), node.client());
+    accepted.send(&get_request("once", 1, TEN_MINUTES_MS));
+    incomplete.send("PUT /api/2 HTTP/1.1\r\nHost: s\r\nReq-Id: 2\r\nReq-Kind: once\r\nContent-Length: 9\r\n");
+    wait_for("the first request", || server.request_count() == 1);
     node.terminate();
-    // A second one changes nothing, and neither does a reload in between.
+    // Neither a second SIGTERM nor a reload between the two changes the shutdown.
     node.reload("{\"name\":");
     node.terminate();
-    assert_eq!(before.answer().expect("an answer").status(), 502);
-    assert_eq!(half.answer(), None, "what never came whole was never taken");
+    assert_eq!(accepted.read_response().expect("a response").status(), 502);
+    assert_eq!(incomplete.read_response(), None, "an incomplete request is not accepted");
     assert!(node.exit().success());
 }
 
-// Guards against a node that waits for discovery before it goes, or that is stopped by what its reload moves.
+// Guards against a shutdown that waits for discovery, or that a reload in progress breaks.
 #[test]
-fn a_node_that_is_terminated_and_reloaded_with_discovery_silent_ends_well() {
-    let server = CacheServer::start(|_| Does::Nothing);
+fn a_shutdown_during_a_reload_with_unresponsive_discovery_succeeds() {
+    let server = CacheServer::start(|_| Reaction::NoResponse);
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut config = quick_stop(silent.local_addr().unwrap());
+    let mut config = fast_shutdown_config(silent.local_addr().unwrap());
     config["known"]["hosts"] = vec![server.entry("s-1", "ready")].into();
     let node = Node::ready(&config);
     let mut waiting = node.client();
-    waiting.send(&read("once", 1, MINUTES));
-    wait_for("the request", || server.count() == 1);
+    waiting.send(&get_request("once", 1, TEN_MINUTES_MS));
+    wait_for("the request", || server.request_count() == 1);
     node.reload(&config.to_string());
     node.terminate();
-    assert_eq!(waiting.answer().expect("an answer").status(), 502);
+    assert_eq!(waiting.read_response().expect("a response").status(), 502);
     assert!(node.exit().success());
 }
 
-// Guards against a SIGTERM or SIGHUP that ends a node which has only just been started.
+// Guards against a SIGTERM or SIGHUP that kills a node before it has installed its signal handlers.
 #[test]
-fn signals_during_the_start_wait_for_it() {
+fn signals_during_startup_are_handled_after_it() {
     let pipe = std::env::temp_dir().join(format!("walkpick-{}-start.fifo", std::process::id()));
     let _ = std::fs::remove_file(&pipe);
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
-    struct Killed(std::process::Child);
-    impl Drop for Killed {
+    struct KilledOnDrop(std::process::Child);
+    impl Drop for KilledOnDrop {
         fn drop(&mut self) {
-            // It has exited by itself where the test went well.
+            // Fails if the node has already exited.
             let _ = (self.0.kill(), self.0.wait());
         }
     }
-    let mut child = Killed(command().env("LB_CONFIG", &pipe).spawn().unwrap());
-    // It opens once the node reads it.
+    let mut child = KilledOnDrop(command().env("LB_CONFIG", &pipe).spawn().unwrap());
+    // Opening the pipe blocks until the node reads it.
     let mut writer = std::fs::OpenOptions::new().write(true).open(&pipe).unwrap();
     for signal in ["-HUP", "-TERM"] {
         assert!(Command::new("kill").args([signal, &child.0.id().to_string()]).status().unwrap().success());
     }
-    let text = quick_stop("127.0.0.1:1".parse().unwrap()).to_string();
-    // The reload reads the file as well: an ordinary one by then.
+    let text = fast_shutdown_config("127.0.0.1:1".parse().unwrap()).to_string();
+    // The reload reads the same path: it is a regular file by then.
     std::fs::remove_file(&pipe).unwrap();
     std::fs::write(&pipe, &text).unwrap();
     std::io::Write::write_all(&mut writer, text.as_bytes()).unwrap();
@@ -126,45 +126,45 @@
     assert!(status.unwrap().success(), "{status:?}");
 }
 
-// Guards against clients that sit idle and keep a node from its end.
+// Guards against idle clients that delay the exit of a node.
 #[test]
 fn a_terminated_node_does_not_wait_for_idle_clients() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut used, mut fresh) = (node.client(), node.client());
-    assert_eq!(used.ask(&read("read", 1, 20_000)).status(), 200);
+    assert_eq!(used.request(&get_request("read", 1, 20_000)).status(), 200);
     node.terminate();
-    assert_eq!(used.answer(), None);
-    assert_eq!(fresh.answer(), None);
+    assert_eq!(used.read_response(), None);
+    assert_eq!(fresh.read_response(), None);
     assert!(node.exit().success());
 }
 
-// Guards against a SIGHUP that ends the node, or that leaves it with a discovery that has moved away.
+// Guards against a SIGHUP that kills the node, or after which it still watches the old discovery address.
 #[test]
-fn a_reload_moves_the_watch_to_the_address_that_the_file_names() {
+fn a_reload_moves_the_watch_to_the_configured_address() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let (before, after) =
         (Discovery::start(&[old.entry("s-1", "ready")]), Discovery::start(&[new.entry("s-2", "ready")]));
     let node = Node::ready(&config(before.address));
-    before.wait_until_told(1);
+    before.wait_until_applied(1);
     node.reload("{\"name\":");
-    assert_eq!(node.read("read", 1).body, b"old", "a broken file changes nothing");
+    assert_eq!(node.read("read", 1).body, b"old", "an invalid file changes nothing");
     node.reload(&config(after.address).to_string());
-    // The versions are each discovery's own: the whole list is asked for, then what comes after it.
-    after.wait_until_told(1);
-    assert_eq!(after.asked.lock().unwrap()[0], "/v1/servers");
+    // Versions are local to a discovery service: the node requests the whole list, then later versions.
+    after.wait_until_applied(1);
+    assert_eq!(after.paths.lock().unwrap()[0], "/v1/servers");
     assert_eq!(node.read("read", 2).body, b"new");
     let calls = before.calls();
-    before.tell(true, &[old.entry("s-1", "ready")]);
-    after.tell(false, &[new.entry("s-2", "ready")]);
-    after.wait_until_told(2);
-    assert_eq!(before.calls(), calls, "the old address is asked no more");
+    before.publish(true, &[old.entry("s-1", "ready")]);
+    after.publish(false, &[new.entry("s-2", "ready")]);
+    after.wait_until_applied(2);
+    assert_eq!(before.calls(), calls, "the old address gets no more calls");
 }
 
-// Guards against a node that starts on half a configuration, or that dies with a panic's many lines.
+// Guards against a node that starts with an invalid configuration, or that reports it by a panic of many lines.
 #[test]
-fn a_missing_or_broken_configuration_is_one_line_and_a_failure() {
+fn a_missing_or_invalid_configuration_fails_with_one_line() {
     let good = config("127.0.0.1:1".parse().unwrap());
     let changed = |path: &str, value: serde_json::Value| {
         let mut broken = good.clone();
@@ -188,33 +188,37 @@
         if let Some(path) = &path {
             command.env("LB_CONFIG", path);
         }
-        let ended = command.output().unwrap();
-        let error = String::from_utf8(ended.stderr).unwrap();
-        assert_eq!(ended.status.code(), Some(2), "{path:?}");
+        let output = command.output().unwrap();
+        let error = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{path:?}");
         assert_eq!(error.lines().count(), 1, "{error}");
         assert!(error.starts_with("walkpick: "), "{error}");
     }
 }
 
-// Guards against one broken entry that keeps all else that a list says from the node, drains included.
+// Guards against an invalid entry that keeps the node from applying the other entries of its list, such as drains.
 #[test]
-fn an_entry_that_cannot_be_read_leaves_the_others_in_force() {
+fn an_invalid_list_entry_does_not_affect_the_others() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    discovery.wait_until_told(1);
-    let mut broken = old.entry("s-1", "ready");
-    broken["dial"] = "nowhere".into();
-    discovery.tell(false, &[broken, 7.into(), new.entry("s-2", "ready")]);
-    discovery.wait_until_told(2);
+    discovery.wait_until_applied(1);
+    let mut invalid = old.entry("s-1", "ready");
+    invalid["dial"] = "nowhere".into();
+    discovery.publish(false, &[invalid, 7.into(), new.entry("s-2", "ready")]);
+    discovery.wait_until_applied(2);
     for id in 1..=8 {
-        assert_eq!(node.read("read", id).body, b"new", "the server that cannot be read gets nothing new");
+        assert_eq!(
+            node.read("read", id).body,
+            b"new",
+            "the server of the invalid entry gets no new requests"
+        );
     }
 }
 
-// Guards against a node that never hears of the new address because the file was just being replaced when it looked.
+// Guards against a reload that is dropped because the file was being replaced while the node read it.
 #[test]
-fn a_reload_whose_file_is_whole_only_a_moment_later_is_done() {
+fn a_reload_is_retried_until_the_file_is_complete() {
     let server = CacheServer::serving("value");
     let (old, new) = (Discovery::start(&[server.entry("s-1", "ready")]), Discovery::start(&[]));
     let node = Node::ready(&config(old.address));
--- a/tests/node_stops.rs
+++ b/tests/node_stops.rs
@@ -1,4 +1,4 @@
-//! A node that is told to stop at every moment of a request's life, with servers that answer ill, on loopback sockets.
+//! Shutdown of a node at every stage of a request, with faulty servers, on loopback sockets.
 
 mod node_common;
 
@@ -6,163 +6,170 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a server does with any request.
-type Habit = fn() -> Does;
+/// How a server reacts to every request.
+type Behaviour = fn() -> Reaction;
 
-/// The servers that a stop may meet, by what they do with a request.
-const SERVERS: [(&str, Habit); 6] = [
-    ("answers", || Does::Answer(answer("200 OK", "", "value"))),
+/// The kinds of servers beside which a node is shut down.
+const SERVERS: [(&str, Behaviour); 6] = [
+    ("answers", || Reaction::Respond(http_response("200 OK", "", "value"))),
     ("is slow", || {
         thread::sleep(Duration::from_millis(200));
-        Does::Answer(answer("200 OK", "", "value"))
+        Reaction::Respond(http_response("200 OK", "", "value"))
     }),
-    ("hangs", || Does::Nothing),
-    ("hangs within its answer", || {
-        Does::Answer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nval".to_owned())
+    ("hangs", || Reaction::NoResponse),
+    ("hangs within its response", || {
+        Reaction::Respond("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nval".to_owned())
     }),
-    ("never ends its answer", || Does::Endless),
-    ("closes within its answer", || {
-        Does::Close("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nval".to_owned())
+    ("never ends its response", || Reaction::EndlessResponse),
+    ("closes within its response", || {
+        Reaction::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nval".to_owned())
     }),
 ];
 
-/// After SIGTERM, within a quick stop.
+/// After SIGTERM, in a fast shutdown: idle connections are closed, and the node has not exited yet.
 const CLOSED: Duration = Duration::from_millis(1_150);
-const ALMOST_GONE: Duration = Duration::from_millis(1_400);
+const BEFORE_EXIT: Duration = Duration::from_millis(1_400);
 
-// Guards against a request that was taken and ends without one whole answer, whenever the node is told to stop.
+// Guards against an accepted request that does not get exactly one complete response, at any moment of a shutdown.
 #[test]
-fn whatever_was_taken_has_one_whole_answer_when_the_node_is_gone() {
-    let stops = SERVERS.map(|(name, does)| (name, thread::spawn(move || (0..20).any(|_| stop_beside(does)))));
-    for (name, stop) in stops {
-        let shown = stop.join();
-        assert!(shown.is_ok(), "a stop beside a server that {name}");
-        assert!(shown.unwrap(), "the machine was too slow in each try");
+fn every_accepted_request_gets_one_complete_response_at_shutdown() {
+    let runs =
+        SERVERS.map(|(name, react)| (name, thread::spawn(move || (0..20).any(|_| shut_down_beside(react)))));
+    for (name, run) in runs {
+        let conclusive = run.join();
+        assert!(conclusive.is_ok(), "a shutdown beside a server that {name}");
+        assert!(conclusive.unwrap(), "the machine was too slow in each try");
     }
 }
 
-/// `false` where the machine was too slow to send what was to be sent while the node could still take it.
-fn stop_beside(does: Habit) -> bool {
-    let server = CacheServer::start(move |_| does());
+/// Shuts a node down beside a server of this behaviour; `false` if the machine was too slow to send all requests while the
+/// node could still accept them.
+fn shut_down_beside(react: Behaviour) -> bool {
+    let server = CacheServer::start(move |_| react());
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&quick_stop(discovery.address));
+    let node = Node::ready(&fast_shutdown_config(discovery.address));
     for class in ["read", "once", "keyed"] {
-        ask_one(&node, class, &server);
+        check_one_request(&node, class, &server);
     }
-    let whole = read("once", 9, MINUTES);
+    let complete = get_request("once", 9, TEN_MINUTES_MS);
     let put = "PUT /api/9 HTTP/1.1\r\nHost: s\r\nReq-Id: 8\r\nReq-Kind: once\r\nReq-Deadline-Ms: 600000\r\n\
                Content-Length: 4\r\n\r\n";
-    let mut kept = node.client();
-    kept.ask(&read("read", 10, 100));
+    let mut reused = node.client();
+    reused.request(&get_request("read", 10, 100));
     let begun = Instant::now();
-    let (mut written, mut fresh) = (node.client(), node.client());
-    let (mut half, mut half_body) = (node.client(), node.client());
-    let before = server.count();
-    written.send(&whole);
-    half.send(&whole[..20]);
-    half_body.send(&format!("{put}ab"));
-    kept.send(&whole[..20]);
-    wait_for("the request at its server", || server.count() > before);
-    let comes_again = come_again(node.client());
-    let told = Instant::now();
+    let (mut sent_before, mut sent_after) = (node.client(), node.client());
+    let (mut partial_head, mut partial_body) = (node.client(), node.client());
+    let before = server.request_count();
+    sent_before.send(&complete);
+    partial_head.send(&complete[..20]);
+    partial_body.send(&format!("{put}ab"));
+    reused.send(&complete[..20]);
+    wait_for("the request at its server", || server.request_count() > before);
+    let repeating_client = repeat_requests(node.client());
+    let terminated = Instant::now();
     node.terminate();
-    wait_for("the node's word that it stops", || node.log.lock().unwrap().contains("is told to stop"));
+    wait_for("the log line about the shutdown", || node.log.lock().unwrap().contains("is told to stop"));
     if begun.elapsed() > Duration::from_millis(600) {
         return false;
     }
-    fresh.send(&whole);
-    half.send(&whole[20..]);
-    half_body.send("cd");
-    // The rest of this one comes when connections at rest are closed already.
-    thread::sleep(CLOSED.saturating_sub(told.elapsed()));
-    if told.elapsed() > ALMOST_GONE {
+    sent_after.send(&complete);
+    partial_head.send(&complete[20..]);
+    partial_body.send("cd");
+    // The rest of the next request is sent after the idle connections have been closed.
+    thread::sleep(CLOSED.saturating_sub(terminated.elapsed()));
+    if terminated.elapsed() > BEFORE_EXIT {
         return false;
     }
-    kept.send(&whole[20..]);
-    // None of these connections was at rest for the node to close.
-    for (which, mut client) in (1..).zip([written, fresh, half, half_body, kept]) {
-        let status = client.answer().unwrap_or_else(|| panic!("no answer to client {which}")).status();
+    reused.send(&complete[20..]);
+    // None of these connections was idle, so the node must not have closed any.
+    for (which, mut client) in (1..).zip([sent_before, sent_after, partial_head, partial_body, reused]) {
+        let status =
+            client.read_response().unwrap_or_else(|| panic!("no response to client {which}")).status();
         assert!([200, 502, 503].contains(&status), "{status}");
-        assert_eq!(client.answer(), None, "and no other");
+        assert_eq!(client.read_response(), None, "a second response");
     }
-    comes_again.join().expect("a client that comes again");
+    repeating_client.join().expect("the repeating client ends");
     assert!(node.exit().success());
     true
 }
 
-/// A request of each class runs its course while nothing stops, in the client's own time.
-fn ask_one(node: &Node, class: &str, server: &CacheServer) {
-    let before = server.count();
-    let status = node.client().ask(&read(class, 7, 400)).status();
+/// Sends one request of this class before the shutdown and checks its status and its number of attempts.
+fn check_one_request(node: &Node, class: &str, server: &CacheServer) {
+    let before = server.request_count();
+    let status = node.client().request(&get_request(class, 7, 400)).status();
     assert!([200, 502, 503].contains(&status), "{status}");
-    let sent = server.count() - before;
+    let sent = server.request_count() - before;
     assert!(class == "read" || sent <= 1 || class == "keyed", "{class} was sent {sent} times");
 }
 
-/// A client that asks again as soon as it is answered, on the connection that it has, for as long as the node lets it.
-fn come_again(mut client: Client) -> thread::JoinHandle<()> {
+/// A client that sends one request after another on its connection until the node closes it.
+fn repeat_requests(mut client: Client) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         for id in 100.. {
-            // A close that crosses a request tells the client to ask elsewhere.
-            let Some(answer) = client.try_ask(&read("read", id, 100)) else { return };
-            assert!([200, 502, 503].contains(&answer.status()), "{}", answer.status());
-            if answer.header("connection") == Some("close") {
-                assert_eq!(client.answer(), None);
+            // The close may cross a request: a client then sends it to another node.
+            let Some(response) = client.try_request(&get_request("read", id, 100)) else { return };
+            assert!([200, 502, 503].contains(&response.status()), "{}", response.status());
+            if response.header("connection") == Some("close") {
+                assert_eq!(client.read_response(), None);
                 return;
             }
         }
     })
 }
 
-/// A node may be held up for so long between reading its clock and writing.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// The kill comes no sooner than this after SIGTERM of a quick stop.
+/// The longest stall of a node, between reading its clock and writing, that a shutdown allows for.
+const STALL: Duration = Duration::from_millis(150);
+/// The earliest SIGKILL after SIGTERM in a fast shutdown.
 const KILL: Duration = Duration::from_millis(1_700);
 
-/// What the client of a request that its server never answers gets from a node that is stopped (SIGSTOP) for so long,
-/// from so long after SIGTERM on, and when. `None` where the machine was too late to play it.
-fn answer_of_a_held_up_stop(from: Duration, held: Duration) -> Option<(Option<u16>, Duration)> {
-    const LATE: Duration = Duration::from_millis(10);
-    let server = CacheServer::start(|_| Does::Nothing);
+/// Stalls a node with SIGSTOP during its shutdown, at `from` after SIGTERM and for `length`, with a request in flight that its
+/// server never answers. Returns the status that the client gets, and when; `None` if the machine was too slow to keep
+/// these times.
+fn response_of_a_stalled_shutdown(from: Duration, length: Duration) -> Option<(Option<u16>, Duration)> {
+    const TOLERANCE: Duration = Duration::from_millis(10);
+    let server = CacheServer::start(|_| Reaction::NoResponse);
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&quick_stop(discovery.address));
+    let node = Node::ready(&fast_shutdown_config(discovery.address));
     let mut waiting = node.client();
-    waiting.send(&read("once", 1, MINUTES));
-    wait_for("the request", || server.count() == 1);
-    let told = Instant::now();
-    let answered = thread::spawn(move || (waiting.answer().map(|answer| answer.status()), told.elapsed()));
+    waiting.send(&get_request("once", 1, TEN_MINUTES_MS));
+    wait_for("the request", || server.request_count() == 1);
+    let terminated = Instant::now();
+    let response = thread::spawn(move || {
+        (waiting.read_response().map(|response| response.status()), terminated.elapsed())
+    });
     node.terminate();
-    thread::sleep(from.saturating_sub(told.elapsed()));
+    thread::sleep(from.saturating_sub(terminated.elapsed()));
     node.signal("-STOP");
-    let stopped = told.elapsed();
-    thread::sleep((from + held).saturating_sub(told.elapsed()));
+    let stopped = terminated.elapsed();
+    thread::sleep((from + length).saturating_sub(terminated.elapsed()));
     node.signal("-CONT");
-    let resumed = told.elapsed();
-    let on_time = stopped <= from + LATE && resumed <= from + held + LATE;
-    let answer = answered.join().expect("an answer or a close");
-    on_time.then_some(answer)
+    let resumed = terminated.elapsed();
+    let on_time = stopped <= from + TOLERANCE && resumed <= from + length + TOLERANCE;
+    let response = response.join().expect("a response or a close");
+    on_time.then_some(response)
 }
 
-// Guards against a stop that leaves no room for a hold-up before the kill, which loses what was taken.
+// Guards against a shutdown that leaves no time for a stall before the kill, so that accepted requests are lost.
 #[test]
-fn a_node_that_is_held_up_at_the_end_of_its_stop_answers_before_the_kill() {
+fn a_node_that_stalls_at_the_end_of_its_shutdown_responds_before_the_kill() {
     let moments = [1_400, 1_470, 1_510, 1_560, 1_590].map(Duration::from_millis);
-    let plays = moments.map(|from| {
-        let play = move || (0..20).find_map(|_| answer_of_a_held_up_stop(from, HELD_UP));
-        (from, thread::spawn(play))
+    let runs = moments.map(|from| {
+        let run = move || (0..20).find_map(|_| response_of_a_stalled_shutdown(from, STALL));
+        (from, thread::spawn(run))
     });
-    for (from, play) in plays {
-        let answer = play.join().expect("a play that ends").expect("the machine was too slow in each try");
-        let (status, at) = answer;
-        println!("held up from {from:?}: answered {at:?} after SIGTERM");
-        assert_eq!(status, Some(502), "held up from {from:?}");
-        assert!(at < KILL, "held up from {from:?}: answered {at:?} after SIGTERM, killed after {KILL:?}");
+    for (from, run) in runs {
+        let response = run.join().expect("the run ends").expect("the machine was too slow in each try");
+        let (status, at) = response;
+        println!("stalled from {from:?}: answered {at:?} after SIGTERM");
+        assert_eq!(status, Some(502), "stalled from {from:?}");
+        assert!(at < KILL, "stalled from {from:?}: answered {at:?} after SIGTERM, killed after {KILL:?}");
     }
 }
 
-// Guards against a node that ends with answers owed because it was held up past its own end, and nobody killed it.
+// Guards against a node that exits without answering accepted requests because a stall lasted past the end of its shutdown
+// and no kill followed.
 #[test]
-fn a_node_that_is_held_up_past_its_end_answers_late_rather_than_never() {
-    let answer = (0..20).find_map(|_| answer_of_a_held_up_stop(Duration::from_millis(1_300), KILL));
-    assert_eq!(answer.map(|(status, _)| status), Some(Some(502)));
+fn a_node_that_stalls_past_the_end_of_its_shutdown_still_responds() {
+    let response = (0..20).find_map(|_| response_of_a_stalled_shutdown(Duration::from_millis(1_300), KILL));
+    assert_eq!(response.map(|(status, _)| status), Some(Some(502)));
 }
