--- a/lab/src/cluster/simulated.rs
+++ b/lab/src/cluster/simulated.rs
@@ -171,9 +171,12 @@
         let order = (EPOCH + self.now).saturating_add_signed(state.clock_offset_us);
         let salt = self.random.random();
         let me = Peer { address: address(node), order, salt, observer: false, name: name.to_owned(), more };
-        let seed =
-            draw::unit(self.seed, draw::Stream::Lists, (node as u64) << 32 | u64::from(state.incarnation))
-                .to_bits();
+        let seed = draw::unit(
+            self.seed,
+            draw::Stream::DiscoveryUpdates,
+            (node as u64) << 32 | u64::from(state.incarnation),
+        )
+        .to_bits();
         state.peers = Some(Peers::new(self.config.clone(), me, seed, self.now));
         (state.started_as, state.paused, state.timers_at) = (order, None, None);
         self.counts[node] = self.config.nodes;
--- a/lab/src/commands/hollow.rs
+++ b/lab/src/commands/hollow.rs
@@ -1,6 +1,6 @@
 //! `walkpick-lab hollow`: runs hollow nodes, told on the command line.
 
-use crate::experiment::{ExperimentError, Fault};
+use crate::experiment::{Diagnostic, ExperimentError};
 use crate::hollow::play::{play_all, PlayOptions};
 use crate::hollow::process::{self, ProcessFault};
 use crate::hollow::run::HollowRun;
@@ -100,7 +100,7 @@
     let hollow = args.hollow()?;
     let faults: Vec<_> = hollow.faults().into_iter().map(as_fault).collect();
     if !faults.is_empty() {
-        return Err(ExperimentError::Faulty { path: "command line".into(), faults }.into());
+        return Err(ExperimentError::Invalid { path: "command line".into(), diagnostics: faults }.into());
     }
     let seeds = args.seed..args.seed.saturating_add(args.seeds);
     let how = PlayOptions { seeds, node: args.node.clone(), logs: args.logs.clone() };
@@ -115,8 +115,8 @@
     Ok(runs.iter().all(|run| run.void.is_none() && !run.interrupted))
 }
 
-fn as_fault(wrong: Wrong) -> Fault {
-    Fault { place: wrong.key, what: format!("found {}, expected {}", wrong.found, wrong.expected) }
+fn as_fault(wrong: Wrong) -> Diagnostic {
+    Diagnostic { location: wrong.key, message: format!("found {}, expected {}", wrong.found, wrong.expected) }
 }
 
 impl HollowArgs {
--- a/lab/src/dissemination/cluster.rs
+++ b/lab/src/dissemination/cluster.rs
@@ -5,7 +5,7 @@
 use super::topology::{address, place, Topology};
 use super::traffic::Traffic;
 use crate::draw::{self, Stream};
-use crate::model::links::Way;
+use crate::model::links::Impairment;
 use crate::model::{Micros, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -99,7 +99,7 @@
     queue: BinaryHeap<Reverse<(Micros, u64, Next)>>,
     nodes: Vec<Node>,
     /// What every link does.
-    pub way: Way,
+    pub way: Impairment,
     /// What came of it.
     pub ledger: Ledger,
     /// Bytes of all nodes.
@@ -144,7 +144,7 @@
             count: 0,
             queue: BinaryHeap::new(),
             nodes: (0..nodes).map(place).collect(),
-            way: Way::default(),
+            way: Impairment::default(),
             ledger: Ledger::default(),
             traffic: Traffic::new(nodes),
             words: Vec::new(),
@@ -240,7 +240,8 @@
         held.identity += 1;
         (held.paused, held.wakes, held.started_at) = (None, None, now);
         held.budget = ByteBudget::new(RATE, DEPTH, now);
-        let draw = draw::unit(self.seed, Stream::Lists, (node as u64) << 32 | u64::from(held.life));
+        let draw =
+            draw::unit(self.seed, Stream::DiscoveryUpdates, (node as u64) << 32 | u64::from(held.life));
         let member = self.member(node);
         self.nodes[node].core = Some(Dissemination::new(self.config.clone(), member, draw.to_bits(), now));
         self.wake(node);
--- a/lab/src/dissemination/scenario.rs
+++ b/lab/src/dissemination/scenario.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::Cluster;
 use super::topology::Topology;
-use crate::model::links::Way;
+use crate::model::links::Impairment;
 use crate::model::{Micros, SECOND};
 use serde::{Deserialize, Serialize};
 use walkpick::peers::dissemination::{DisseminationCounters, DisseminationOutput};
@@ -101,7 +101,7 @@
 /// Runs a load: one publisher, which is not the first node of its region by name.
 pub fn run(load: &Load) -> Outcome {
     let mut cluster = Cluster::new(Topology::default(), load.nodes, load.seed);
-    cluster.way = Way { loss: load.loss, ..Way::default() };
+    cluster.way = Impairment { loss: load.loss, ..Impairment::default() };
     cluster.start_all();
     cluster.run(SETTLE);
     let publisher = load.nodes / 2;
--- a/lab/src/dissemination/tests.rs
+++ b/lab/src/dissemination/tests.rs
@@ -3,7 +3,7 @@
 use super::cluster::{Cluster, BUDGET};
 use super::scenario::{run, seconds, Load};
 use super::topology::{address, Topology};
-use crate::model::links::Way;
+use crate::model::links::Impairment;
 use crate::model::{Micros, SECOND};
 use walkpick::peers::dissemination::message::{encode, Message};
 use walkpick::peers::dissemination::{hash_name, DisseminationOutput, Line, PublishError};
@@ -59,7 +59,7 @@
     }
 }
 
-fn cluster(seed: u64, way: Way) -> Cluster {
+fn cluster(seed: u64, way: Impairment) -> Cluster {
     let mut cluster = Cluster::new(Topology::default(), NODES, seed);
     cluster.way = way;
     cluster.start_all();
@@ -90,8 +90,8 @@
     cluster.ledger.slowest(since, cluster.now())
 }
 
-fn lost(loss: f64) -> Way {
-    Way { loss, ..Way::default() }
+fn lost(loss: f64) -> Impairment {
+    Impairment { loss, ..Impairment::default() }
 }
 
 #[test]
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_fifth_lost_duplicates_and_reorder_leave_nothing_out() {
-    let way = Way { loss: 0.2, duplicate: 0.1, reorder: 0.2, ..Way::default() };
+    let way = Impairment { loss: 0.2, duplicate: 0.1, reorder: 0.2, ..Impairment::default() };
     let mut cluster = cluster(2, way);
     let mut flow = Flow::new(&mut cluster, PUBLISHER);
     flow.run(&mut cluster, 8);
@@ -119,7 +119,7 @@
 
 #[test]
 fn a_relay_that_is_killed_holds_nothing_back() {
-    let mut cluster = cluster(3, Way::default());
+    let mut cluster = cluster(3, Impairment::default());
     let mut flow = Flow::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
     flow.run(&mut cluster, 2);
@@ -133,7 +133,7 @@
 
 #[test]
 fn a_relay_that_stands_still_holds_nothing_back_and_is_named() {
-    let mut cluster = cluster(4, Way::default());
+    let mut cluster = cluster(4, Impairment::default());
     let mut flow = Flow::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
     cluster.ledger.exempt.insert(relay);
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_relay_that_is_slow_holds_nothing_back() {
-    let mut cluster = cluster(5, Way::default());
+    let mut cluster = cluster(5, Impairment::default());
     let mut flow = Flow::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
     flow.run(&mut cluster, 2);
@@ -177,7 +177,7 @@
 
 /// What the publisher is told of an entry when one node's datagrams come a minute late, which is seen as present.
 fn named_when_cut_off(seed: u64, rank: usize) {
-    let mut cluster = cluster(seed, Way::default());
+    let mut cluster = cluster(seed, Impairment::default());
     let mut flow = Flow::new(&mut cluster, PUBLISHER);
     flow.run(&mut cluster, 1);
     let cut_off = cluster.relays(PUBLISHER)[rank];
@@ -214,7 +214,7 @@
 
 #[test]
 fn after_a_zone_is_lost_the_bounds_hold_again_within_five_seconds() {
-    let mut cluster = cluster(7, Way::default());
+    let mut cluster = cluster(7, Impairment::default());
     let mut flow = Flow::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
     let topology = cluster.topology();
@@ -233,7 +233,7 @@
 
 #[test]
 fn a_region_cut_off_for_three_minutes_replays_what_both_sides_published() {
-    let mut cluster = cluster(8, Way::default());
+    let mut cluster = cluster(8, Impairment::default());
     let topology = cluster.topology();
     let inside = topology.region(PUBLISHER);
     let outsider = (0..NODES).find(|&node| topology.region(node) != inside).unwrap();
@@ -262,7 +262,7 @@
 
 #[test]
 fn all_are_restarted_in_turn_while_entries_flow() {
-    let mut cluster = cluster(9, Way::default());
+    let mut cluster = cluster(9, Impairment::default());
     let mut flow = Flow::new(&mut cluster, PUBLISHER);
     flow.run(&mut cluster, 1);
     let others: Vec<usize> = (0..NODES).filter(|&node| node != PUBLISHER).collect();
@@ -379,7 +379,7 @@
 
 #[test]
 fn what_cannot_be_read_is_dropped_and_counted() {
-    let mut cluster = cluster(13, Way::default());
+    let mut cluster = cluster(13, Impairment::default());
     let mut flow = Flow::new(&mut cluster, PUBLISHER);
     flow.run(&mut cluster, 1);
     let own = hash_name("walkpick") as u32;
@@ -418,7 +418,7 @@
 
 #[test]
 fn sixty_purges_a_second_for_ten_seconds_are_late_and_whole() {
-    let mut cluster = cluster(14, Way::default());
+    let mut cluster = cluster(14, Impairment::default());
     let mut flow = Flow::new(&mut cluster, PUBLISHER);
     flow.run_at(&mut cluster, 60, 10);
     let took = flow.finish(&mut cluster, 60 * SECOND);
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Experiments: a deployment, a load, a schedule of faults, arms and checks, read from TOML. What is wrong in a file is
-//! told with its line.
+//! Experiments: a deployment, a load, a schedule of faults, arms and checks, read from TOML. Errors name the line or the
+//! value at fault.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -14,41 +14,41 @@
     /// The file cannot be read.
     #[error("{}: cannot be read: {error}", path.display())]
     Unreadable {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         error: std::io::Error,
     },
     /// The file cannot be written.
     #[error("{}: cannot be written: {error}", path.display())]
     Unwritable {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         error: std::io::Error,
     },
-    /// The file is not an experiment.
-    #[error("{}", faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect::<Vec<_>>().join("\n"))]
-    Faulty {
-        /// Which file.
+    /// The file is not a valid experiment.
+    #[error("{}", diagnostics.iter().map(|one| format!("{}: {one}", path.display())).collect::<Vec<_>>().join("\n"))]
+    Invalid {
+        /// Path of the file.
         path: PathBuf,
-        /// All that is wrong.
-        faults: Vec<Fault>,
+        /// Everything that is wrong in it.
+        diagnostics: Vec<Diagnostic>,
     },
 }
 
-/// One thing that is wrong in a file.
+/// One error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// A line, or the name of a value.
-    pub place: String,
+    pub location: String,
     /// What was found and what was expected.
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.what)
+        write!(f, "{}: {}", self.location, self.message)
     }
 }
 
@@ -60,67 +60,68 @@
     pub name: String,
     /// What it shows.
     pub about: String,
-    /// How long clients come.
+    /// Duration of the arrivals, without the lead.
     #[serde(with = "humantime_serde")]
     pub length: Duration,
-    /// Before that nothing counts: memories fill, and nodes meet their servers. Faults count their time from its end.
+    /// Warm-up phase, in which caches fill and nodes find their servers. Nothing counts before its end, and the times of
+    /// faults are relative to it.
     #[serde(with = "humantime_serde", default = "lead")]
     pub lead: Duration,
-    /// How it is carried out where nothing else is asked for.
+    /// Default driver.
     #[serde(default)]
     pub driver: Driver,
-    /// The machines.
+    /// Nodes, servers, origin and discovery.
     #[serde(default)]
     pub deployment: Deployment,
-    /// What clients bring.
+    /// Traffic of the clients.
     #[serde(default)]
     pub load: Load,
-    /// What goes wrong, and when.
+    /// Schedule of faults.
     #[serde(default)]
-    pub fault: Vec<Trouble>,
-    /// Settings that differ, by name.
+    pub fault: Vec<ScheduledFault>,
+    /// Variants of the experiment, by name.
     #[serde(default)]
     pub arm: BTreeMap<String, Arm>,
-    /// What has to hold.
+    /// Expectations on the figures.
     #[serde(default)]
     pub check: Vec<Check>,
 }
 
-/// The machines, with the middle of the operators' ranges where nothing is said.
+/// A deployment. Defaults are the middle of the operators' ranges.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Deployment {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: u32,
-    /// Cache servers.
+    /// Number of cache servers.
     pub servers: u32,
-    /// Zones, over which both are spread in turn.
+    /// Number of zones; nodes and servers are assigned to them in turn.
     pub zones: u32,
     /// Cores of a server.
     pub cores: f64,
-    /// Objects that a server keeps.
+    /// Objects that the cache of a server holds.
     pub memory: u32,
-    /// Asks that the origin can take, for each that is left with one pooled cache of the fleet's size.
+    /// Capacity of the origin, as a multiple of the requests that one pooled cache of the fleet's size would leave to it.
     pub origin_headroom: f64,
-    /// Mean time of the origin.
+    /// Mean service time of the origin.
     #[serde(with = "humantime_serde")]
     pub origin_time: Duration,
-    /// Share of its capacity that a fresh server has, and the time until all of it is there.
+    /// Share of its full capacity that a server has at start.
     pub cold_share: f64,
-    /// See `cold_share`.
+    /// Time from a server's start to its full capacity.
     #[serde(with = "humantime_serde")]
     pub warm: Duration,
-    /// How late nodes hear of a change, at the least and at the most.
+    /// Minimum delay until a node is notified of a change by discovery.
     #[serde(with = "humantime_serde")]
     pub notice_least: Duration,
-    /// See `notice_least`.
+    /// Maximum of that delay.
     #[serde(with = "humantime_serde")]
     pub notice_most: Duration,
-    /// Whether answers of servers carry load reports, late and noisy.
+    /// Whether responses of servers carry load reports, which are delayed and noisy.
     pub reports: bool,
-    /// Whether servers may be probed, at a price.
+    /// Whether servers may be probed; each probe costs them work.
     pub probes: bool,
-    /// How late the front sees that a node is dead.
+    /// Delay until the front load balancer notices that a node is dead.
     #[serde(with = "humantime_serde")]
     pub front_notice: Duration,
 }
@@ -147,7 +148,7 @@
     }
 }
 
-/// How an experiment is carried out.
+/// How an experiment is run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Driver {
@@ -159,7 +160,7 @@
 }
 
 impl Driver {
-    /// As it is written.
+    /// Its name as in experiment files.
     pub fn name(self) -> &'static str {
         match self {
             Self::Virtual => "virtual",
@@ -168,28 +169,28 @@
     }
 }
 
-/// What clients bring.
+/// Traffic of the clients.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Work asked for, as a part of what the servers can do.
+    /// Mean work requested, as a share of the servers' capacity.
     pub share: f64,
-    /// Ups and downs, as a part of it.
+    /// Amplitude of the variation of the rate, relative to its mean.
     pub swing: f64,
-    /// Part of the clients in the first zone.
+    /// Share of the clients in the first zone.
     pub first_zone: f64,
-    /// Objects for each that a server keeps.
+    /// Number of objects, as a multiple of those that all caches together hold.
     pub keys_per_memory: f64,
-    /// How uneven their popularity is.
+    /// Exponent of the Zipf distribution of their popularity.
     pub zipf: f64,
-    /// Part of the objects that give their rank to others each second.
+    /// Fraction of the popularity ranks that pass to another object each second.
     pub drift: f64,
-    /// Tries of a client beyond its first.
+    /// Maximum number of retries of a client.
     pub retries: u32,
-    /// What it waits before one.
+    /// Delay before a retry.
     #[serde(with = "humantime_serde")]
     pub backoff: Duration,
-    /// Part of the clients that stay away for as long as a refusal tells them to.
+    /// Share of the clients that wait for the retry-after time of a refusal.
     pub heeds: f64,
 }
 
@@ -209,54 +210,54 @@
     }
 }
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
-    /// Servers take `size` times as long.
+pub enum FaultKind {
+    /// Servers are slower by a factor of `size`.
     ServerSlow,
-    /// Servers answer `size` (a part) of one class, or of all, with errors.
+    /// Servers answer the share `size` of the requests of one class, or of all, with errors.
     ServerErring,
-    /// Of the servers' answers `size` (a part) break off half way.
+    /// Of the servers' responses, the share `size` breaks off half-way.
     ServerSpoilt,
-    /// Servers say nothing; at the end they are back, cold.
+    /// Servers do not respond; at the end they restart, cold.
     ServerSilent,
-    /// A whole zone of servers says nothing; at the end they are back, cold.
+    /// All servers of one zone do not respond; at the end they restart, cold.
     ZoneSilent,
-    /// Servers are drained and replaced by new ones, one after the other over the time.
+    /// Servers are drained and replaced by new ones, one after the other over the duration.
     ServersReplaced,
-    /// Nodes are killed; at the end they start anew.
+    /// Nodes are killed; at the end they restart.
     NodeKilled,
-    /// Nodes are told to go (SIGTERM), and killed where they don't; at the end they start anew.
+    /// Nodes are asked to shut down (SIGTERM), and killed if they don't; at the end they restart.
     NodeTerminated,
-    /// Nodes are restarted, one after the other over the time.
+    /// Nodes are restarted, one after the other over the duration.
     NodesRolled,
-    /// Nodes stand still (SIGSTOP), and go on at the end.
+    /// Nodes are paused (SIGSTOP), and resumed at the end.
     NodePaused,
-    /// Nodes get `size` (a part) of the processor time.
+    /// Nodes get the share `size` of the processor time.
     NodeSlow,
-    /// Discovery's address moves, and nodes are told to reload (SIGHUP).
+    /// Discovery's address changes, and nodes are asked to reload their configuration (SIGHUP).
     NodeReloaded,
-    /// Nodes' clocks are `size` seconds ahead, as far as what discovery tells them shows it.
+    /// Nodes' clocks are `size` seconds ahead. Only the start times that discovery reports show it.
     NodeClock,
-    /// Links do what `link` says.
+    /// Links are impaired as `link` says.
     Link,
-    /// The origin takes `size` times as long.
+    /// The origin is slower by a factor of `size`.
     OriginSlow,
-    /// The origin says nothing; at the end it goes on with what it has.
+    /// The origin does not answer; at the end it resumes with its queue.
     OriginSilent,
-    /// The origin answers `size` (a part) with errors.
+    /// The origin answers the share `size` of the requests with errors.
     OriginErring,
-    /// Lists come `size` times as late.
+    /// Delays of discovery's updates grow by a factor of `size`.
     DiscoveryLate,
-    /// Of what discovery has to tell, `size` (a part) comes to a node only at the end.
+    /// Of discovery's updates, the share `size` reaches a node only at the end.
     DiscoveryLoses,
 }
 
-/// What nodes have a link with.
+/// What a link connects nodes with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Party {
+pub enum RemoteKind {
     /// Clients, which connect to nodes.
     Client,
     /// Cache servers.
@@ -264,82 +265,82 @@
     Server,
     /// Discovery.
     Discovery,
-    /// Other nodes, where they meet their peers.
+    /// Other nodes, as peers.
     Peer,
 }
 
-/// Which direction of a link, as the party that connects sees it.
+/// Direction of a link, as seen by the side that connects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// Both.
+    /// Both directions.
     #[default]
     Both,
-    /// From the party that connects.
+    /// From the side that connects.
     There,
-    /// To it.
+    /// To the side that connects.
     Back,
 }
 
-/// What links do.
+/// Impairment of links by a fault.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct LinkTrouble {
-    /// Links of nodes to whom.
-    pub to: Party,
-    /// In which direction.
+pub struct LinkFault {
+    /// What the affected links connect nodes with.
+    pub to: RemoteKind,
+    /// Affected direction.
     pub direction: Direction,
-    /// Which part of the servers it meets.
+    /// Share of the servers whose links are affected.
     pub other_part: f64,
-    /// Everything takes so much longer.
+    /// Fixed extra delay.
     #[serde(with = "humantime_serde")]
     pub delay: Duration,
-    /// And up to so much more, by chance.
+    /// Maximum of the random delay that is added to it.
     #[serde(with = "humantime_serde")]
     pub jitter: Duration,
-    /// Part of what is sent that is lost: on a stream it comes again later.
+    /// Probability of loss; on a stream the data is retransmitted.
     pub loss: f64,
-    /// Part of the datagrams that come twice.
+    /// Probability that a datagram is delivered twice.
     pub duplicate: f64,
-    /// Part of the datagrams that come after those behind them.
+    /// Probability that a datagram is delivered after later ones.
     pub reorder: f64,
     /// Nothing gets through.
     pub silent: bool,
     /// Open connections are reset at the beginning.
     pub reset: bool,
-    /// It goes on and off in turns of this length.
+    /// The fault alternates between on and off at this interval.
     #[serde(with = "humantime_serde", skip_serializing_if = "Option::is_none")]
     pub flap: Option<Duration>,
 }
 
-/// One fault on the schedule. Faults may overlap.
+/// A fault on the schedule. Faults may overlap.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    /// What goes wrong.
-    pub what: What,
-    /// From when.
+pub struct ScheduledFault {
+    /// Its kind.
+    pub what: FaultKind,
+    /// When it begins.
     #[serde(with = "humantime_serde")]
     pub from: Duration,
-    /// Until when.
+    /// When it ends.
     #[serde(with = "humantime_serde")]
     pub to: Duration,
-    /// Which part of the servers or nodes it meets.
+    /// Share of the servers or nodes that it affects.
     #[serde(default = "one")]
     pub part: f64,
-    /// How bad it is.
+    /// Its strength; the meaning depends on the kind.
     #[serde(default = "one")]
     pub size: f64,
-    /// Which class alone, where it meets one alone.
+    /// The only class that it affects, if it is limited to one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<String>,
-    /// What links do.
+    /// Impairment of links, for [`FaultKind::Link`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub link: Option<LinkTrouble>,
+    pub link: Option<LinkFault>,
 }
 
-impl What {
-    /// Whether a fault of this kind happens to links.
+impl FaultKind {
+    /// Whether faults of this kind affect links.
     fn on_links(self) -> bool {
         self == Self::Link
     }
@@ -353,88 +354,89 @@
     1.0
 }
 
-/// Which decisions run.
+/// The decision module of an arm.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
     /// The program's.
     #[default]
     Walkpick,
-    /// Any ready server, by chance; no breaker.
+    /// Any ready server, at random; no breaker.
     Random,
     /// Plain consistent hashing, with breakers at the paper's defaults.
     Hash,
-    /// Sees the true state of every server, and takes the one that would answer first: the top.
+    /// Upper bound: sees the true state of every server, and picks the one that would answer first.
     Top,
-    /// The program's, made to believe that no server ever drains: for the judges to catch.
+    /// The program's, with draining hidden from it. The judges must catch it.
     IgnoresDrains,
-    /// The program's, made to believe that everything may run again: for the judges to catch.
+    /// The program's, with every class declared safe to resend. The judges must catch it.
     ResendsCharge,
-    /// Sends on whatever comes, to any server that was ever named, again and again: for the judges to catch.
+    /// Resends every request repeatedly, to any server that was ever listed. The judges must catch it.
     BlocksNothing,
 }
 
-/// Settings that differ.
+/// A variant of an experiment.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Arm {
-    /// Which decisions run.
+    /// The decision module.
     pub policy: Policy,
-    /// No fault of the schedule happens.
+    /// Whether the schedule of faults is skipped.
     pub no_faults: bool,
-    /// Real nodes meet their peers.
+    /// Whether real nodes connect to their peers.
     pub peers: bool,
 }
 
-/// What has to hold: a figure within a bound, in one arm or in each. The bound stands alone or is a multiple of what
-/// another arm came to.
+/// An expectation: a figure is within bounds, in one arm or in each. Bounds are absolute, or multiples of the figure in
+/// another arm.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Check {
-    /// What it is called.
+    /// Its name.
     pub name: String,
-    /// The figure; `rules` counts broken rules.
+    /// Name of the figure; `rules` counts violations of rules.
     pub figure: String,
-    /// In which arm; in each where it is missing.
+    /// The arm that it applies to; every arm where missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub arm: Option<String>,
     /// Bounds are multiples of the same figure in this arm, on the same seed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub relative_to: Option<String>,
-    /// Under which driver; under each where it is missing.
+    /// The driver that it applies to; each where missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub driver: Option<Driver>,
-    /// It is no less than this.
+    /// Lower bound.
     #[serde(default)]
     pub at_least: Option<f64>,
-    /// It is no more than this.
+    /// Upper bound.
     #[serde(default)]
     pub at_most: Option<f64>,
 }
 
 impl Experiment {
-    /// Reads a file.
+    /// Reads an experiment file.
     pub fn load(path: &Path) -> Result<Self, ExperimentError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| ExperimentError::Unreadable { path: path.to_owned(), error })?;
-        Self::parse(&text).map_err(|faults| ExperimentError::Faulty { path: path.to_owned(), faults })
+        Self::parse(&text)
+            .map_err(|diagnostics| ExperimentError::Invalid { path: path.to_owned(), diagnostics })
     }
 
-    /// Reads a text.
-    pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
-        let read: Self = toml::from_str(text).map_err(|error| {
+    /// Parses and validates the text of an experiment file.
+    pub fn parse(text: &str) -> Result<Self, Vec<Diagnostic>> {
+        let experiment: Self = toml::from_str(text).map_err(|error| {
             let before = error.span().and_then(|span| text.get(..span.start)).unwrap_or("");
             let line = before.matches('\n').count() + 1;
-            vec![Fault { place: format!("line {line}"), what: error.message().replace('\n', " ") }]
+            vec![Diagnostic { location: format!("line {line}"), message: error.message().replace('\n', " ") }]
         })?;
-        let faults = read.faults();
-        match faults.is_empty() {
-            true => Ok(read),
-            false => Err(faults),
+        let diagnostics = experiment.validate();
+        match diagnostics.is_empty() {
+            true => Ok(experiment),
+            false => Err(diagnostics),
         }
     }
 
-    /// Its arms, in the order of their names; one named `walkpick` where it names none.
+    /// Its arms by name; a default arm named `walkpick` if it has none.
     pub fn arms(&self) -> BTreeMap<String, Arm> {
         if self.arm.is_empty() {
             return [("walkpick".to_owned(), Arm::default())].into();
@@ -442,12 +444,12 @@
         self.arm.clone()
     }
 
-    fn faults(&self) -> Vec<Fault> {
-        let mut faults = Vec::new();
-        let mut within = |place: String, value: f64, least: f64, most: f64| {
-            if !(least..=most).contains(&value) {
-                let what = format!("found {value}, expected {least} to {most}");
-                faults.push(Fault { place, what });
+    fn validate(&self) -> Vec<Diagnostic> {
+        let mut diagnostics = Vec::new();
+        let mut within = |location: String, value: f64, min: f64, max: f64| {
+            if !(min..=max).contains(&value) {
+                let message = format!("found {value}, expected {min} to {max}");
+                diagnostics.push(Diagnostic { location, message });
             }
         };
         let Deployment { nodes, servers, zones, cores, memory, .. } = self.deployment;
@@ -468,12 +470,12 @@
         within("load.drift".into(), self.load.drift, 0.0, 1.0);
         within("load.retries".into(), self.load.retries.into(), 0.0, 10.0);
         within("load.heeds".into(), self.load.heeds, 0.0, 1.0);
-        for (i, trouble) in self.fault.iter().enumerate() {
-            within(format!("fault {}: part", i + 1), trouble.part, 0.0, 1.0);
-            within(format!("fault {}: size", i + 1), trouble.size, 0.0, 1e6);
-            let (from, to) = (trouble.from.as_secs_f64(), trouble.to.as_secs_f64());
+        for (i, fault) in self.fault.iter().enumerate() {
+            within(format!("fault {}: part", i + 1), fault.part, 0.0, 1.0);
+            within(format!("fault {}: size", i + 1), fault.size, 0.0, 1e6);
+            let (from, to) = (fault.from.as_secs_f64(), fault.to.as_secs_f64());
             within(format!("fault {}: to", i + 1), to, from, self.length.as_secs_f64());
-            if let Some(link) = &trouble.link {
+            if let Some(link) = &fault.link {
                 for (name, part) in [
                     ("other_part", link.other_part),
                     ("loss", link.loss),
@@ -484,50 +486,53 @@
                 }
             }
         }
-        let kinds = crate::model::clients::kinds();
-        for (i, trouble) in self.fault.iter().enumerate() {
-            if trouble.what.on_links() != trouble.link.is_some() {
-                let what = match trouble.link {
+        let classes = crate::model::clients::client_classes();
+        for (i, fault) in self.fault.iter().enumerate() {
+            if fault.what.on_links() != fault.link.is_some() {
+                let message = match fault.link {
                     Some(_) => "found [fault.link], expected it with what = \"link\" alone",
                     None => "found no [fault.link], expected what the links do",
                 };
-                faults.push(Fault { place: format!("fault {}: link", i + 1), what: what.to_owned() });
+                diagnostics.push(Diagnostic {
+                    location: format!("fault {}: link", i + 1),
+                    message: message.to_owned(),
+                });
             }
-            if let Some(class) = &trouble.class {
-                if !kinds.iter().any(|kind| kind.class.name.as_str() == class) {
-                    let names: Vec<_> = kinds.iter().map(|kind| kind.class.name.to_string()).collect();
-                    let what = format!("found \"{class}\", expected one of {}", names.join(", "));
-                    faults.push(Fault { place: format!("fault {}: class", i + 1), what });
+            if let Some(class) = &fault.class {
+                if !classes.iter().any(|known| known.config.name.as_str() == class) {
+                    let names: Vec<_> = classes.iter().map(|known| known.config.name.to_string()).collect();
+                    let message = format!("found \"{class}\", expected one of {}", names.join(", "));
+                    diagnostics.push(Diagnostic { location: format!("fault {}: class", i + 1), message });
                 }
             }
         }
         for (i, check) in self.check.iter().enumerate() {
-            let place = |what: &str| format!("check {}: {what}", i + 1);
+            let location = |part: &str| format!("check {}: {part}", i + 1);
             if !crate::judge::FIGURES.iter().any(|(name, _)| *name == check.figure) {
                 let names: Vec<_> = crate::judge::FIGURES.iter().map(|(name, _)| *name).collect();
-                let what = format!("found \"{}\", expected one of {}", check.figure, names.join(", "));
-                faults.push(Fault { place: place("figure"), what });
+                let message = format!("found \"{}\", expected one of {}", check.figure, names.join(", "));
+                diagnostics.push(Diagnostic { location: location("figure"), message });
             }
             if check.at_least.is_none() && check.at_most.is_none() {
-                let what = "found no bound, expected at_least or at_most".to_owned();
-                faults.push(Fault { place: place("bound"), what });
+                let message = "found no bound, expected at_least or at_most".to_owned();
+                diagnostics.push(Diagnostic { location: location("bound"), message });
             }
             for (name, arm) in [("arm", &check.arm), ("relative_to", &check.relative_to)] {
                 if let Some(found) = arm.as_ref().filter(|arm| !self.arms().contains_key(*arm)) {
                     let names: Vec<_> = self.arms().into_keys().collect();
-                    let what = format!("found \"{found}\", expected one of {}", names.join(", "));
-                    faults.push(Fault { place: place(name), what });
+                    let message = format!("found \"{found}\", expected one of {}", names.join(", "));
+                    diagnostics.push(Diagnostic { location: location(name), message });
                 }
             }
             if let Some(other) = &check.relative_to {
                 if check.arm.as_ref().is_none_or(|arm| arm == other) {
                     let found = check.arm.as_ref().map_or("no arm".to_owned(), |arm| format!("\"{arm}\""));
-                    let what = format!("found {found}, expected an arm other than that of relative_to");
-                    faults.push(Fault { place: place("arm"), what });
+                    let message = format!("found {found}, expected an arm other than that of relative_to");
+                    diagnostics.push(Diagnostic { location: location("arm"), message });
                 }
             }
         }
-        faults
+        diagnostics
     }
 }
 
--- a/lab/src/hollow/complete.rs
+++ b/lab/src/hollow/complete.rs
@@ -4,9 +4,9 @@
 use super::clock;
 use super::protocol::{CompleteAddresses, Life, Micros, Numbered, Reset};
 use crate::experiment::{
-    Arm, Deployment, Direction, Driver, Experiment, LinkTrouble, Load, Party, Trouble, What,
+    Arm, Deployment, Direction, Driver, Experiment, FaultKind, LinkFault, Load, RemoteKind, ScheduledFault,
 };
-use crate::judge::Result as Run;
+use crate::judge::RunResult as Run;
 use crate::real::{self, Company, Options, RealError};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -150,9 +150,9 @@
 fn experiment(nodes: usize, length: Duration, loss: f64) -> Experiment {
     let length = (length + LONGER).saturating_sub(LEAD).max(Duration::from_secs(1));
     // Between complete nodes datagrams are lost as everywhere.
-    let link = LinkTrouble { to: Party::Peer, direction: Direction::Both, loss, ..LinkTrouble::default() };
-    let lossy = Trouble {
-        what: What::Link,
+    let link = LinkFault { to: RemoteKind::Peer, direction: Direction::Both, loss, ..LinkFault::default() };
+    let lossy = ScheduledFault {
+        what: FaultKind::Link,
         from: Duration::ZERO,
         to: length,
         part: 1.0,
--- a/lab/src/hollow/experiment/tests.rs
+++ b/lab/src/hollow/experiment/tests.rs
@@ -1,4 +1,4 @@
-use crate::experiment::Fault;
+use crate::experiment::Diagnostic;
 use crate::scale::ScaleExperiment;
 
 const HEAD: &str = "name = \"n\"\nabout = \"a\"\n";
@@ -6,7 +6,7 @@
 fn told(text: &str) -> Vec<String> {
     match ScaleExperiment::parse(&format!("{HEAD}{text}")) {
         Ok(_) => Vec::new(),
-        Err(faults) => faults.iter().map(Fault::to_string).collect(),
+        Err(faults) => faults.iter().map(Diagnostic::to_string).collect(),
     }
 }
 
--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -1,9 +1,9 @@
-//! Judges: the rules, checked from the lab's own record, and the figures of a run.
+//! Judges: checks of the rules against the lab's own record of a run, and the figures of the run.
 
 pub mod relative;
 
 use crate::experiment::{Check, Driver, Experiment};
-use crate::model::clients::{Ask, End, Kind};
+use crate::model::clients::{ClientClass, ClientOutcome, ClientRequest};
 use crate::model::{micros, Micros, SECOND};
 use crate::plan::Plan;
 use hdrhistogram::Histogram;
@@ -11,12 +11,13 @@
 use std::collections::BTreeMap;
 use walkpick::{Class, Effect, Scope, ServerId};
 
-/// Rule on cold servers: it is broken where this part of the work came from nodes that knew of the start.
-const TOLD_PART: f64 = 2.0 / 3.0;
-/// Broken rules that are told one by one; the others are counted.
-const TOLD: usize = 20;
+/// A crash of a cold server violates the rule on cold servers where at least this share of the work came from nodes that
+/// had been notified of its start.
+const MIN_NOTIFIED_SHARE: f64 = 2.0 / 3.0;
+/// Violations listed one by one; further ones are only counted.
+const MAX_LISTED_VIOLATIONS: usize = 20;
 
-/// The figures that a check may name, with what each means.
+/// The figures that a check may name, and their meanings.
 pub const FIGURES: &[(&str, &str)] = &[
     ("served", "worth in time over worth asked for, the whole run"),
     ("worst_window", "the same, in the worst 10 s"),
@@ -56,20 +57,20 @@
     ("late_max_ms", "real driver: how late it was at the most"),
 ];
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, Serialize)]
-pub struct Broken {
-    /// Which: final-answer, resend, refusal, drain, cold-server, crash.
+pub struct Violation {
+    /// The rule: final-answer, resend, refusal, drain, cold-server or crash.
     pub rule: &'static str,
     /// When, in seconds.
     pub at_s: f64,
-    /// What happened.
+    /// Description.
     pub what: String,
 }
 
-/// Whether a request of a class may be sent on again, or refused (rule on duplicated effects). `first`: when the
-/// first of its attempts that may have run, or are still out, was sent.
-fn may_repeat(effect: Effect, first: Option<Micros>, now: Micros) -> bool {
+/// Whether a request of a class may be sent to a server again (rule on duplicated effects). `first`: when the first of
+/// its attempts that may have been executed, or are in flight, was sent.
+fn may_resend(effect: Effect, first: Option<Micros>, now: Micros) -> bool {
     let Some(first) = first else { return true };
     match effect {
         Effect::Safe => true,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Whether a request of a class may be refused, where an attempt may have run or not.
+/// Whether a request of a class may be refused. `may_have_run`: whether an attempt may have been executed.
 fn may_refuse(effect: Effect, may_have_run: bool) -> bool {
     match effect {
         Effect::Safe => true,
@@ -87,324 +88,345 @@
     }
 }
 
-/// What a node does about a request.
+/// An action of a node on a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Deed<'a> {
+pub struct NodeAction<'a> {
     /// When.
     pub now: Micros,
-    /// The node.
+    /// Index of the node.
     pub node: usize,
-    /// The client's try.
-    pub ticket: usize,
-    /// Its class.
+    /// Index of the client's try.
+    pub try_id: usize,
+    /// Class of the request.
     pub class: &'a Class,
 }
 
-/// Since when a node knows that a server is to get nothing new, and the time that it has to stop.
+/// A node's notice that a server is to get no new requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Off {
-    /// When it was told.
-    pub told: Micros,
-    /// How long it has.
+pub struct DrainNotice {
+    /// When the node was notified.
+    pub notified_at: Micros,
+    /// How long after that it may still send.
     pub grace: Micros,
 }
 
-/// What a run is told while it goes on.
+/// The lab's record of a run.
 #[derive(Debug, Default)]
 pub struct Record {
-    ends: Vec<(End, Option<Micros>)>,
+    outcomes: Vec<(ClientOutcome, Option<Micros>)>,
     /// Tries of clients.
     pub tries: u64,
     /// Attempts at servers.
     pub attempts: u64,
-    /// Attempts to another zone.
+    /// Attempts at servers in another zone.
     pub crossings: u64,
     /// Probes.
     pub probes: u64,
     /// New connections to servers.
     pub connections: u64,
-    /// Reads that were served, and those of them that no server had kept.
+    /// Reads that were served, and how many of them were cache misses.
     pub reads: (u64, u64),
-    /// Work done, and what of it nobody used, in microseconds.
+    /// Work done by servers, and how much of it was for answers that nobody used, in microseconds.
     pub work_us: (f64, f64),
-    /// Cold servers that fell over.
-    pub cold_falls: u64,
-    /// Times that the origin fell over.
-    pub origin_falls: u64,
-    broken: Vec<Broken>,
-    broken_count: u64,
-    /// Since when a node does what it does, and what it did before.
-    doing: BTreeMap<usize, (Doing, Micros)>,
-    done: Vec<(usize, Doing, Micros, Micros)>,
+    /// Crashes of cold servers.
+    pub cold_crashes: u64,
+    /// Crashes of the origin.
+    pub origin_crashes: u64,
+    violations: Vec<Violation>,
+    violation_count: u64,
+    /// The current state of each node that has changed state, and since when.
+    states: BTreeMap<usize, (NodeState, Micros)>,
+    /// Past states other than serving: node, state, from, to.
+    past_states: Vec<(usize, NodeState, Micros, Micros)>,
 }
 
-/// One second of a run.
+/// Figures of one second of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Worth asked for.
+    /// Worth requested.
     pub asked: f64,
-    /// Worth served in time.
+    /// Worth served within the latency target.
     pub served: f64,
     /// Requests.
     pub requests: u32,
-    /// Those refused.
+    /// Requests that were refused.
     pub refused: u32,
-    /// Those failed or never answered.
+    /// Requests that failed or were never answered.
     pub failed: u32,
-    /// Median time of what was served, from when it was due, in milliseconds.
+    /// Median latency of served requests, from their scheduled arrival, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of that.
+    /// 99th percentile of that latency.
     pub p99_ms: f64,
 }
 
-/// What a node was doing.
+/// State of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Doing {
+pub enum NodeState {
     /// Serving.
     Serving,
-    /// Told to go.
+    /// Asked to shut down.
     Leaving,
-    /// Standing still.
+    /// Paused (SIGSTOP).
     Paused,
-    /// Getting a part of its time.
+    /// Limited to a share of the processor time.
     Slow,
-    /// Gone.
+    /// Not running.
     Down,
 }
 
-/// A time over which a node did one thing.
+/// A period during which a node was in one state.
 #[derive(Clone, Debug, Serialize)]
 pub struct Span {
-    /// The node's number.
+    /// Index of the node.
     pub node: usize,
-    /// What it did.
-    pub doing: Doing,
-    /// From when, in seconds since faults count their time.
+    /// Its state.
+    #[serde(rename = "doing")]
+    pub state: NodeState,
+    /// Start, in seconds since the end of the lead.
     pub from_s: f64,
-    /// Until when.
+    /// End, likewise.
     pub to_s: f64,
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
-pub struct Result {
+pub struct RunResult {
     /// The experiment.
     pub experiment: String,
     /// The arm.
     pub arm: String,
     /// The seed.
     pub seed: u64,
-    /// The build.
+    /// Version of the lab.
     pub version: &'static str,
-    /// How it was carried out.
+    /// Name of the driver.
     pub driver: &'static str,
-    /// Why it counts for nothing, if so.
+    /// Why the run does not count, if so.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub void: Option<String>,
-    /// It was ended early: figures are of what was measured up to then.
+    /// Whether the run was ended early: its figures cover what was measured up to then.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub interrupted: bool,
-    /// Requests asked.
+    /// Requests of clients.
     pub requests: usize,
-    /// The same in every arm: of all that was drawn ahead.
+    /// Digest of all requests as drawn before the run, the same in every arm.
     pub draws: String,
-    /// By name; see [`FIGURES`].
+    /// Values by name; see [`FIGURES`].
     pub figures: BTreeMap<&'static str, f64>,
-    /// Of this arm.
-    pub checks: Vec<Checked>,
-    /// The first ones.
-    pub rules_broken: Vec<Broken>,
-    /// By second.
+    /// Results of the checks that apply to this arm.
+    pub checks: Vec<CheckResult>,
+    /// The first violations of rules.
+    pub rules_broken: Vec<Violation>,
+    /// Figures by second.
     pub series: Vec<Second>,
-    /// What nodes did that were not serving.
+    /// Periods during which nodes were not serving.
     pub spans: Vec<Span>,
 }
 
-/// A check and what came of it.
+/// The result of a check.
 #[derive(Clone, Debug, Serialize)]
-pub struct Checked {
-    /// Its name.
+pub struct CheckResult {
+    /// Name of the check.
     pub name: String,
-    /// The figure's name.
+    /// Name of the figure.
     pub figure: String,
-    /// What it came to.
+    /// Value that is held against the bound.
     pub value: f64,
-    /// What it should be.
+    /// The bound, in words.
     pub bound: String,
-    /// Whether it is.
+    /// Whether the value is within it.
     pub holds: bool,
 }
 
 impl Record {
-    /// Of so many requests.
+    /// An empty record of a run with this many requests.
     pub fn new(requests: usize) -> Self {
-        Self { ends: vec![Default::default(); requests], ..Self::default() }
+        Self { outcomes: vec![Default::default(); requests], ..Self::default() }
     }
 
-    /// Notes a broken rule.
-    pub fn breaks(&mut self, now: Micros, rule: &'static str, what: impl FnOnce() -> String) {
-        self.broken_count += 1;
-        if self.broken.len() < TOLD {
-            self.broken.push(Broken { rule, at_s: now as f64 / SECOND as f64, what: what() });
+    /// Records a violation of a rule.
+    pub fn violation(&mut self, now: Micros, rule: &'static str, what: impl FnOnce() -> String) {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_LISTED_VIOLATIONS {
+            self.violations.push(Violation { rule, at_s: now as f64 / SECOND as f64, what: what() });
         }
     }
 
-    /// A cold server was sent more than it could bear, this part of it by nodes that knew of its start.
-    pub fn cold_fall(&mut self, now: Micros, server: &ServerId, told: f64) {
-        self.cold_falls += 1;
-        if told >= TOLD_PART {
-            self.breaks(now, "cold-server", || format!("{server} was pushed over while cold"));
+    /// Records the crash of a cold server, and checks the rule on cold servers. `notified_share`: share of the work from
+    /// nodes that had been notified of its start.
+    pub fn cold_crash(&mut self, now: Micros, server: &ServerId, notified_share: f64) {
+        self.cold_crashes += 1;
+        if notified_share >= MIN_NOTIFIED_SHARE {
+            self.violation(now, "cold-server", || format!("{server} was pushed over while cold"));
         }
     }
 
-    /// A request runs, for the so many-th time.
-    pub fn runs(&mut self, now: Micros, ticket: usize, class: &Class, times: u32) {
+    /// A server starts to execute a request. `times`: how often it was started, this time included.
+    pub fn execution_started(&mut self, now: Micros, try_id: usize, class: &Class, times: u32) {
         if class.effect == Effect::Unsafe && times > 1 {
             let name = class.name.as_str();
-            self.breaks(now, "resend", || format!("request {ticket} ({name}) ran twice"));
+            self.violation(now, "resend", || format!("request {try_id} ({name}) ran twice"));
         }
     }
 
-    /// A node sends a request to a server. `off`: where it knows that the server drains or is gone. `first`: when the
-    /// first of the request's attempts that may have run, or are still out, was sent.
-    pub fn sends(&mut self, deed: Deed, server: &ServerId, off: Option<Off>, first: Option<Micros>) {
-        let Deed { now, node, ticket, class } = deed;
-        if let Some(off) = off.filter(|off| now > off.told + off.grace) {
-            let after = (now - off.told) / 1_000;
-            self.breaks(now, "drain", || {
-                format!("request {ticket} went to {server} {after} ms after n{node} was told that it drains or is gone")
+    /// A node sends an attempt to a server. `notice`: present where the node was notified that the server drains or was
+    /// removed. `first`: when the first of the request's attempts that may have been executed, or are in flight, was
+    /// sent.
+    pub fn attempt_sent(
+        &mut self,
+        action: NodeAction,
+        server: &ServerId,
+        notice: Option<DrainNotice>,
+        first: Option<Micros>,
+    ) {
+        let NodeAction { now, node, try_id, class } = action;
+        if let Some(notice) = notice.filter(|notice| now > notice.notified_at + notice.grace) {
+            let after_ms = (now - notice.notified_at) / 1_000;
+            self.violation(now, "drain", || {
+                format!("request {try_id} went to {server} {after_ms} ms after n{node} was told that it drains or is gone")
             });
         }
-        if !may_repeat(class.effect, first, now) {
+        if !may_resend(class.effect, first, now) {
             let name = class.name.as_str();
-            self.breaks(now, "resend", || {
-                format!("request {ticket} ({name}) was sent again by n{node} though it may have run")
+            self.violation(now, "resend", || {
+                format!("request {try_id} ({name}) was sent again by n{node} though it may have run")
             });
         }
     }
 
     /// A node refuses a request.
-    pub fn refuses(&mut self, deed: Deed, may_have_run: bool) {
-        let Deed { now, node, ticket, class } = deed;
+    pub fn request_refused(&mut self, action: NodeAction, may_have_run: bool) {
+        let NodeAction { now, node, try_id, class } = action;
         if !may_refuse(class.effect, may_have_run) {
             let name = class.name.as_str();
-            self.breaks(now, "refusal", || {
-                format!("request {ticket} ({name}) was refused by n{node} though it may have run")
+            self.violation(now, "refusal", || {
+                format!("request {try_id} ({name}) was refused by n{node} though it may have run")
             });
         }
     }
 
-    /// A node does something else from now on; all of them serve at first.
-    pub fn does(&mut self, node: usize, doing: Doing, now: Micros) {
-        let (was, since) = self.doing.insert(node, (doing, now)).unwrap_or((Doing::Serving, 0));
-        if was != Doing::Serving {
-            self.done.push((node, was, since, now));
+    /// A node changes state. All nodes serve at the start of the run.
+    pub fn node_state_changed(&mut self, node: usize, state: NodeState, now: Micros) {
+        let (previous, since) = self.states.insert(node, (state, now)).unwrap_or((NodeState::Serving, 0));
+        if previous != NodeState::Serving {
+            self.past_states.push((node, previous, since, now));
         }
     }
 
     fn spans(&self, lead: Micros, end: Micros) -> Vec<Span> {
-        let going_on = self.doing.iter().filter(|(_, (doing, _))| *doing != Doing::Serving);
-        let going_on = going_on.map(|(&node, &(doing, since))| (node, doing, since, end));
+        let current = self.states.iter().filter(|(_, (state, _))| *state != NodeState::Serving);
+        let current = current.map(|(&node, &(state, since))| (node, state, since, end));
         let seconds = |at: Micros| (at as f64 - lead as f64) / SECOND as f64;
-        let all = self.done.iter().copied().chain(going_on);
-        all.map(|(node, doing, from, to)| Span { node, doing, from_s: seconds(from), to_s: seconds(to) })
+        let all = self.past_states.iter().copied().chain(current);
+        all.map(|(node, state, from, to)| Span { node, state, from_s: seconds(from), to_s: seconds(to) })
             .collect()
     }
 
-    /// A client's request has come to this end; what is served stays served.
-    pub fn end(&mut self, ask: usize, end: End, at: Micros) {
-        let known = &mut self.ends[ask];
-        if known.0 != End::Served {
-            *known = (end, Some(at));
+    /// A try of a client's request ended. A request that was served counts as served whatever follows.
+    pub fn request_ended(&mut self, request: usize, outcome: ClientOutcome, at: Micros) {
+        let recorded = &mut self.outcomes[request];
+        if recorded.0 != ClientOutcome::Served {
+            *recorded = (outcome, Some(at));
         }
     }
 
-    /// Puts the figures together: what is asked from `lead` on counts.
+    /// Computes the figures of the run and of its seconds. Only requests that arrive after the lead count.
     fn figures(
         &self,
-        asks: &[Ask],
-        kinds: &[Kind],
+        requests: &[ClientRequest],
+        classes: &[ClientClass],
         lead: Micros,
     ) -> (BTreeMap<&'static str, f64>, Vec<Second>) {
         let mut series = Vec::new();
-        let mut classes = vec![(0.0, 0.0, 0usize); kinds.len()];
+        // For each class: worth requested, worth served in time, requests.
+        let mut class_totals = vec![(0.0, 0.0, 0usize); classes.len()];
         let (mut refused, mut failed, mut counted) = (0u64, 0u64, 0u64);
-        // To a minute, with three digits.
+        // Up to a minute, with three significant digits.
         let histogram = || Histogram::<u64>::new_with_bounds(1, 60 * SECOND, 3).ok();
-        let (mut times, mut of_second) = (histogram(), histogram());
-        for (ask, &(end, at)) in asks.iter().zip(&self.ends).filter(|(ask, _)| ask.at >= lead) {
-            let kind = &kinds[ask.kind];
-            let worth = kind.class.worth * ask.work_us / SECOND as f64;
-            let took = at.map(|at| at.saturating_sub(ask.at));
-            let in_time = end == End::Served && took.is_some_and(|took| took <= micros(kind.class.aim));
+        let (mut latencies, mut second_latencies) = (histogram(), histogram());
+        for (request, &(outcome, at)) in
+            requests.iter().zip(&self.outcomes).filter(|(request, _)| request.at >= lead)
+        {
+            let class = &classes[request.class];
+            let worth = class.config.worth * request.work_us / SECOND as f64;
+            let latency = at.map(|at| at.saturating_sub(request.at));
+            let in_time = outcome == ClientOutcome::Served
+                && latency.is_some_and(|latency| latency <= micros(class.config.aim));
             let served = if in_time { worth } else { 0.0 };
-            let place = ((ask.at - lead) / SECOND) as usize;
-            if series.len() <= place {
-                end_second(series.last_mut(), &mut of_second);
-                series.resize(place + 1, Second::default());
+            let index = ((request.at - lead) / SECOND) as usize;
+            if series.len() <= index {
+                finish_second(series.last_mut(), &mut second_latencies);
+                series.resize(index + 1, Second::default());
             }
-            let second = &mut series[place];
+            let second = &mut series[index];
             second.asked += worth;
             second.served += served;
             second.requests += 1;
-            second.refused += u32::from(end == End::Refused);
-            second.failed += u32::from(matches!(end, End::Failed | End::Unreached | End::None));
-            let class = &mut classes[ask.kind];
-            *class = (class.0 + worth, class.1 + served, class.2 + 1);
+            second.refused += u32::from(outcome == ClientOutcome::Refused);
+            second.failed += u32::from(matches!(
+                outcome,
+                ClientOutcome::Failed | ClientOutcome::Unreachable | ClientOutcome::Unanswered
+            ));
+            let totals = &mut class_totals[request.class];
+            *totals = (totals.0 + worth, totals.1 + served, totals.2 + 1);
             counted += 1;
-            refused += u64::from(end == End::Refused);
-            failed += u64::from(matches!(end, End::Failed | End::Unreached | End::None));
-            if let (End::Served, Some(took), Some(times), Some(of_second)) =
-                (end, took, &mut times, &mut of_second)
+            refused += u64::from(outcome == ClientOutcome::Refused);
+            failed += u64::from(matches!(
+                outcome,
+                ClientOutcome::Failed | ClientOutcome::Unreachable | ClientOutcome::Unanswered
+            ));
+            if let (ClientOutcome::Served, Some(latency), Some(latencies), Some(second_latencies)) =
+                (outcome, latency, &mut latencies, &mut second_latencies)
             {
-                times.saturating_record(took.max(1));
-                of_second.saturating_record(took.max(1));
+                latencies.saturating_record(latency.max(1));
+                second_latencies.saturating_record(latency.max(1));
             }
         }
-        end_second(series.last_mut(), &mut of_second);
-        let sum = |seconds: &[Second]| {
+        finish_second(series.last_mut(), &mut second_latencies);
+        let served_share = |seconds: &[Second]| {
             let asked: f64 = seconds.iter().map(|second| second.asked).sum();
             ratio(seconds.iter().map(|second| second.served).sum(), asked)
         };
-        let worst_window = series.windows(10.min(series.len().max(1))).map(sum).fold(1.0, f64::min);
-        let many = classes.iter().filter(|class| class.2 as u64 * 100 >= counted);
-        let worst_class = many.map(|class| ratio(class.1, class.0)).fold(1.0, f64::min);
-        let per = |count: u64| ratio(count as f64, asks.len() as f64);
-        let quantile = |q| times.as_ref().map_or(0.0, |times| times.value_at_quantile(q) as f64 / 1_000.0);
+        let worst_window = series.windows(10.min(series.len().max(1))).map(served_share).fold(1.0, f64::min);
+        let frequent = class_totals.iter().filter(|totals| totals.2 as u64 * 100 >= counted);
+        let worst_class = frequent.map(|totals| ratio(totals.1, totals.0)).fold(1.0, f64::min);
+        let per_request = |count: u64| ratio(count as f64, requests.len() as f64);
+        let quantile_ms =
+            |q| latencies.as_ref().map_or(0.0, |latencies| latencies.value_at_quantile(q) as f64 / 1_000.0);
         let figures = [
-            ("served", sum(&series)),
+            ("served", served_share(&series)),
             ("worst_window", worst_window),
             ("worst_class", worst_class),
             ("refused", ratio(refused as f64, counted as f64)),
             ("failed", ratio(failed as f64, counted as f64)),
-            ("tries", per(self.tries)),
-            ("attempts", per(self.attempts)),
+            ("tries", per_request(self.tries)),
+            ("attempts", per_request(self.attempts)),
             ("misses", ratio(self.reads.1 as f64, self.reads.0 as f64)),
-            ("crossings", per(self.crossings)),
-            ("connections", per(self.connections)),
+            ("crossings", per_request(self.crossings)),
+            ("connections", per_request(self.connections)),
             ("wasted", ratio(self.work_us.1, self.work_us.0)),
-            ("origin_falls", self.origin_falls as f64),
-            ("cold_falls", self.cold_falls as f64),
-            ("p50_ms", quantile(0.5)),
-            ("p99_ms", quantile(0.99)),
-            ("probes", per(self.probes)),
-            ("rules", self.broken_count as f64),
+            ("origin_falls", self.origin_crashes as f64),
+            ("cold_falls", self.cold_crashes as f64),
+            ("p50_ms", quantile_ms(0.5)),
+            ("p99_ms", quantile_ms(0.99)),
+            ("probes", per_request(self.probes)),
+            ("rules", self.violation_count as f64),
         ];
         (figures.into(), series)
     }
 
-    /// What the run came to, in the arm of this name, with further figures that a driver has.
+    /// The result of the run in the arm `arm`. `further`: figures that only this driver has.
     pub fn result<const N: usize>(
         &self,
         plan: &Plan,
         arm: &str,
         further: [(&'static str, f64); N],
-    ) -> Result {
-        let (mut figures, series) = self.figures(&plan.asks, &plan.kinds, plan.lead());
+    ) -> RunResult {
+        let (mut figures, series) = self.figures(&plan.requests, &plan.classes, plan.lead());
         figures.extend(further);
         let driver = if N == 0 { Driver::Virtual } else { Driver::Real };
-        Result {
+        RunResult {
             experiment: plan.experiment.name.clone(),
             arm: arm.to_owned(),
             seed: plan.seed,
@@ -412,23 +434,24 @@
             driver: driver.name(),
             void: None,
             interrupted: false,
-            requests: plan.asks.len(),
-            draws: plan.draws(),
-            checks: check(&plan.experiment, arm, driver, &figures),
+            requests: plan.requests.len(),
+            draws: plan.draws_digest(),
+            checks: evaluate_checks(&plan.experiment, arm, driver, &figures),
             figures,
-            rules_broken: self.broken.clone(),
+            rules_broken: self.violations.clone(),
             series,
             spans: self.spans(plan.lead(), plan.length()),
         }
     }
 }
 
-/// Requests come in their order: a second is over when one of the next has come.
-fn end_second(second: Option<&mut Second>, times: &mut Option<Histogram<u64>>) {
-    if let (Some(second), Some(times)) = (second, times) {
-        let ms = |q| times.value_at_quantile(q) as f64 / 1_000.0;
+/// Computes the latencies of a second. Requests are in order of arrival, so a second ends with the first request of a
+/// later one.
+fn finish_second(second: Option<&mut Second>, latencies: &mut Option<Histogram<u64>>) {
+    if let (Some(second), Some(latencies)) = (second, latencies) {
+        let ms = |q| latencies.value_at_quantile(q) as f64 / 1_000.0;
         (second.p50_ms, second.p99_ms) = (ms(0.5), ms(0.99));
-        times.reset();
+        latencies.reset();
     }
 }
 
@@ -440,21 +463,22 @@
     }
 }
 
-/// Holds the figures of an arm against an experiment's checks, but for those that need another arm's: see [`relative`].
-pub fn check(
+/// Evaluates an experiment's checks on the figures of an arm, except checks that compare it with another arm: see
+/// [`relative`].
+pub fn evaluate_checks(
     experiment: &Experiment,
     arm: &str,
     driver: Driver,
     figures: &BTreeMap<&'static str, f64>,
-) -> Vec<Checked> {
-    let of_arm = |check: &&Check| {
+) -> Vec<CheckResult> {
+    let applies = |check: &&Check| {
         check.relative_to.is_none()
             && check.arm.as_ref().is_none_or(|name| name == arm)
-            && check.driver.is_none_or(|named| named == driver)
+            && check.driver.is_none_or(|required| required == driver)
     };
-    let checked = experiment.check.iter().filter(of_arm).map(|check| {
+    let results = experiment.check.iter().filter(applies).map(|check| {
         let value = figures.get(check.figure.as_str()).copied().unwrap_or(f64::NAN);
-        Checked {
+        CheckResult {
             name: check.name.clone(),
             figure: check.figure.clone(),
             value,
@@ -465,16 +489,16 @@
             holds: within(check, value),
         }
     });
-    checked.collect()
+    results.collect()
 }
 
-/// The bounds that a check has, with the words for them.
+/// The bounds of a check, with the words that describe them.
 fn bounds(check: &Check) -> impl Iterator<Item = (&'static str, f64)> {
     let bounds = [("at least", check.at_least), ("at most", check.at_most)];
     bounds.into_iter().filter_map(|(word, bound)| bound.map(|bound| (word, bound)))
 }
 
-/// Whether a value lies within a check's bounds. What is no number lies within none.
+/// Whether a value lies within a check's bounds. `NaN` lies within none.
 fn within(check: &Check, value: f64) -> bool {
-    check.at_least.is_none_or(|least| value >= least) && check.at_most.is_none_or(|most| value <= most)
+    check.at_least.is_none_or(|min| value >= min) && check.at_most.is_none_or(|max| value <= max)
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -18,8 +18,8 @@
 use walkpick_lab::commands::{
     capacity, dissemination, hollow, measure, membership, scale, slopes, UnknownName,
 };
-use walkpick_lab::experiment::{self, Arm, Driver, Experiment, ExperimentError, Policy, What};
-use walkpick_lab::judge::{self, Result as Run};
+use walkpick_lab::experiment::{self, Arm, Driver, Experiment, ExperimentError, FaultKind, Policy};
+use walkpick_lab::judge::{self, RunResult as Run};
 use walkpick_lab::real::{self, process, Options, RealError};
 use walkpick_lab::scale::{RunOptions, ScaleExperiment};
 use walkpick_lab::slopes::SlopesError;
@@ -311,7 +311,7 @@
         Some(error) => Err(error.into()),
         None => {
             let mut runs: Vec<_> = done.into_inner().unwrap_or_default().into_values().collect();
-            judge::relative::judge(experiment, &mut runs);
+            judge::relative::add_relative_checks(experiment, &mut runs);
             Ok(runs)
         }
     }
@@ -326,7 +326,9 @@
     bar.set_prefix(format!("{} {name}, seed {seed}", experiment.name));
     let told = |now: model::Micros| bar.set_position(now.min(length));
     let run = match driver {
-        Driver::Virtual if arm.peers || experiment.fault.iter().any(|fault| fault.what == What::NodeSlow) => {
+        Driver::Virtual
+            if arm.peers || experiment.fault.iter().any(|fault| fault.what == FaultKind::NodeSlow) =>
+        {
             Err(RealError::OnlyReal(name.to_owned()))
         }
         Driver::Virtual => Ok(World::new(experiment, arm, seed).run(name, stop, &told)),
@@ -381,7 +383,7 @@
     }
     let experiment = Experiment::load(&args.file)?;
     let arms = match &args.arm {
-        Some(arm) => judge::relative::with_compared(&experiment, &[known_arm(&experiment, arm)?]),
+        Some(arm) => judge::relative::with_reference_arms(&experiment, &[known_arm(&experiment, arm)?]),
         None => experiment.arms().into_keys().collect(),
     };
     let results = play(&experiment, &arms, args.seed..args.seed + args.seeds, args.jobs, &args.how)?;
@@ -545,9 +547,9 @@
 }
 
 fn replay(file: &Path, how: &How) -> Done {
-    let fault = |place: String, what: String| ExperimentError::Faulty {
+    let fault = |place: String, what: String| ExperimentError::Invalid {
         path: file.to_owned(),
-        faults: vec![experiment::Fault { place, what }],
+        diagnostics: vec![experiment::Diagnostic { location: place, message: what }],
     };
     let text = std::fs::read_to_string(file)
         .map_err(|error| ExperimentError::Unreadable { path: file.to_owned(), error })?;
--- a/lab/src/measure/trials/node_play.rs
+++ b/lab/src/measure/trials/node_play.rs
@@ -2,7 +2,7 @@
 //! the servers here answer whatever comes, so that each node can be played alone, at its full rate.
 
 use crate::draw::{self, Stream};
-use crate::model::clients::{self, Kind};
+use crate::model::clients::{self, ClientClass};
 use crate::model::{micros, Micros, SECOND};
 use rand::Rng;
 use rand_distr::{Distribution, Zipf};
@@ -97,7 +97,7 @@
 struct Play<'a> {
     setting: &'a Setting,
     balancer: Balancer,
-    kinds: Vec<Kind>,
+    kinds: Vec<ClientClass>,
     random: Xoshiro256PlusPlus,
     now: Micros,
     count: u64,
@@ -143,11 +143,11 @@
 
 impl<'a> Play<'a> {
     fn new(setting: &'a Setting, seed: u64) -> Self {
-        let kinds = clients::kinds();
+        let kinds = clients::client_classes();
         let settings = Settings {
             zone: Some("zone-0".into()),
             nodes: setting.nodes,
-            classes: kinds.iter().map(|kind| kind.class.clone()).collect(),
+            classes: kinds.iter().map(|kind| kind.config.clone()).collect(),
             sized: false,
             max_attempts: 5,
             max_retry_after: Duration::from_secs(2),
@@ -205,7 +205,7 @@
             which < 0.0
         });
         let kind = kind.unwrap_or(0);
-        let deadline = micros(self.kinds[kind].class.deadline) as f64;
+        let deadline = micros(self.kinds[kind].config.deadline) as f64;
         let patience = deadline * self.random.random_range(PATIENCE.0..PATIENCE.1);
         let key = self.popular.as_ref().map_or(0.0, |law| law.sample(&mut self.random)) as u64;
         let ticket = self.tickets;
--- a/lab/src/model/clients.rs
+++ b/lab/src/model/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: arrivals drawn ahead, open loop; classes, popular keys that drift, patience, retries of their own
-//! (operators' page, "Request classes" and "What clients do").
+//! Clients: an open-loop arrival process drawn before the run, request classes, popular keys that drift, per-try
+//! timeouts and client retries (operators' page, "Request classes" and "What clients do").
 
 use super::{micros, Micros, SECOND};
 use crate::draw::{self, Stream};
@@ -8,26 +8,26 @@
 use std::time::Duration;
 use walkpick::{Class, Effect, Scope};
 
-/// A class of requests, as clients send it.
+/// A class of requests, with its part in the clients' traffic.
 #[derive(Clone, Debug)]
-pub struct Kind {
-    /// As nodes know it.
-    pub class: Class,
-    /// Part of all requests.
+pub struct ClientClass {
+    /// The class as configured on nodes.
+    pub config: Class,
+    /// Share of all requests.
     pub share: f64,
-    /// Mean work, in microseconds of a standard core, and its coefficient of variation.
+    /// Mean work, in microseconds of a standard core.
     pub work_us: f64,
-    /// See `work_us`.
+    /// Coefficient of variation of the work.
     pub cv: f64,
-    /// Whether it changes its object.
+    /// Whether its requests modify their object.
     pub write: bool,
 }
 
-/// The four classes of the operators' page, at the middle of their ranges.
-pub fn kinds() -> Vec<Kind> {
+/// The four classes of the operators' page, each at the middle of its ranges.
+pub fn client_classes() -> Vec<ClientClass> {
     let ms = Duration::from_millis;
-    let kind = |name: &str, share, work_ms: u64, cv, aim, deadline, worth, effect| Kind {
-        class: Class {
+    let class = |name: &str, share, work_ms: u64, cv, aim, deadline, worth, effect| ClientClass {
+        config: Class {
             name: name.into(),
             effect,
             aim: ms(aim),
@@ -42,43 +42,43 @@
     };
     let keyed = Effect::Keyed { scope: Scope::All, window: ms(3_000) };
     vec![
-        kind("sub-view", 0.605, 86, 1.1, 500, 1_000, 3.0, Effect::Safe),
-        kind("catalogue", 0.36, 155, 1.0, 1_200, 4_000, 1.0, Effect::Safe),
-        kind("charge", 0.026, 180, 1.1, 1_200, 4_000, 8.0, Effect::Unsafe),
-        kind("plan-change", 0.009, 200, 1.1, 1_500, 5_000, 2.0, keyed),
+        class("sub-view", 0.605, 86, 1.1, 500, 1_000, 3.0, Effect::Safe),
+        class("catalogue", 0.36, 155, 1.0, 1_200, 4_000, 1.0, Effect::Safe),
+        class("charge", 0.026, 180, 1.1, 1_200, 4_000, 8.0, Effect::Unsafe),
+        class("plan-change", 0.009, 200, 1.1, 1_500, 5_000, 2.0, keyed),
     ]
 }
 
-/// One request, drawn ahead: nothing that nodes do changes it.
+/// A client's request. It is drawn before the run, so nothing that nodes do changes it.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// When its client first sends it.
+pub struct ClientRequest {
+    /// When its client sends the first try.
     pub at: Micros,
-    /// Place of its class.
-    pub kind: usize,
-    /// Place of its client's zone.
+    /// Index of its class.
+    pub class: usize,
+    /// Index of its client's zone.
     pub zone: usize,
-    /// The object.
+    /// Key of the object.
     pub key: u64,
     /// Work, in microseconds of a standard core.
     pub work_us: f64,
-    /// What its client's guess of that work is.
+    /// The client's estimate of that work.
     pub hint_us: f64,
     /// How long its client waits for each try.
-    pub patience: Micros,
-    /// Whether its client stays away for as long as it is told to.
-    pub heeds: bool,
+    pub try_timeout: Micros,
+    /// Whether its client waits for the retry-after time of a refusal before it retries.
+    pub honors_retry_after: bool,
 }
 
-/// What became of a request, or of one try.
+/// How a request, or one try of it, ended for its client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
-    /// Not over, or over with no answer.
+pub enum ClientOutcome {
+    /// Still in flight, or ended without an answer.
     #[default]
-    None,
-    /// No node could be reached.
-    Unreached,
-    /// Refused.
+    Unanswered,
+    /// No node was reachable.
+    Unreachable,
+    /// Refused by the node.
     Refused,
     /// Failed.
     Failed,
@@ -86,89 +86,104 @@
     Served,
 }
 
-/// Whether a client sends a request again that came to this end (protocol page, "Clients"). `since_first`: since it
-/// first sent it.
-pub fn repeats(effect: Effect, end: End, since_first: Micros) -> bool {
-    match (end, effect) {
-        (End::Served, _) => false,
-        (End::Refused | End::Unreached, _) | (_, Effect::Safe) => true,
+/// Whether a client retries a request that ended with `outcome` (protocol page, "Clients"). `since_first`: time since
+/// its first try.
+pub fn should_retry(effect: Effect, outcome: ClientOutcome, since_first: Micros) -> bool {
+    match (outcome, effect) {
+        (ClientOutcome::Served, _) => false,
+        (ClientOutcome::Refused | ClientOutcome::Unreachable, _) | (_, Effect::Safe) => true,
         (_, Effect::Keyed { scope, window }) => scope == Scope::All && since_first < micros(window),
         (_, Effect::Unsafe) => false,
     }
 }
 
-/// What is drawn.
+/// Parameters of the arrival process.
 #[derive(Clone, Debug)]
-pub struct Load {
-    /// Requests a second, on the mean.
-    pub rate: f64,
-    /// Ups and downs of the rate, as a part of it, with one wave in 20 s.
+pub struct Workload {
+    /// Mean requests per second.
+    pub rate_per_s: f64,
+    /// Amplitude of the sine by which the rate varies, relative to the mean; its period is 20 s.
     pub swing: f64,
-    /// Zones that clients are in; the first has this part of them.
+    /// Number of client zones.
     pub zones: usize,
-    /// See `zones`.
-    pub first_zone: f64,
-    /// Objects, and how uneven their popularity is (the exponent of Zipf's law).
+    /// Share of the clients in the first zone.
+    pub first_zone_share: f64,
+    /// Number of objects.
     pub keys: u64,
-    /// See `keys`.
+    /// Exponent of the Zipf distribution of their popularity.
     pub zipf: f64,
-    /// Part of the objects that give their rank to others each second.
+    /// Fraction of the popularity ranks that pass to another object each second.
     pub drift: f64,
-    /// Parts of its class's deadline that a client waits for a try.
-    pub try_share: (f64, f64),
-    /// Part of the clients that stay away for as long as they are told to.
-    pub heeds: f64,
+    /// Lowest and highest try timeout, as fractions of the deadline of the class.
+    pub try_timeout_shares: (f64, f64),
+    /// Share of the clients that wait for the retry-after time of a refusal.
+    pub honors_retry_after_share: f64,
 }
 
-/// All requests of a run, in their order.
-pub fn arrivals(seed: u64, length: Micros, load: &Load, kinds: &[Kind]) -> Vec<Ask> {
-    let (mut when, mut what) = (draw::stream(seed, Stream::Arrivals), draw::stream(seed, Stream::Requests));
-    let popularity = Zipf::new(load.keys.max(1) as f64, load.zipf).ok();
-    let most = load.rate * (1.0 + load.swing);
-    let (mut asks, mut now) = (Vec::new(), 0);
+/// Draws all requests of a run, in order of arrival.
+pub fn generate_requests(
+    seed: u64,
+    length: Micros,
+    workload: &Workload,
+    classes: &[ClientClass],
+) -> Vec<ClientRequest> {
+    let (mut times, mut contents) =
+        (draw::stream(seed, Stream::Arrivals), draw::stream(seed, Stream::Requests));
+    let popularity = Zipf::new(workload.keys.max(1) as f64, workload.zipf).ok();
+    let max_rate = workload.rate_per_s * (1.0 + workload.swing);
+    let (mut requests, mut now) = (Vec::new(), 0);
     loop {
-        now += draw::exponential_us(&mut when, SECOND as f64 / most).max(1);
+        now += draw::exponential_us(&mut times, SECOND as f64 / max_rate).max(1);
         if now >= length {
-            return asks;
+            return requests;
         }
-        // Thinned: the rate at this moment against the most.
+        // Thinning: arrivals are drawn at the maximum rate and kept in proportion to the current one.
         let wave = (now as f64 / (20.0 * SECOND as f64) * std::f64::consts::TAU).sin();
-        if when.random::<f64>() * (1.0 + load.swing) > 1.0 + load.swing * wave {
+        if times.random::<f64>() * (1.0 + workload.swing) > 1.0 + workload.swing * wave {
             continue;
         }
-        let heeds = draw::unit(seed, Stream::Clients, asks.len() as u64) < load.heeds;
-        asks.push(Ask { heeds, ..ask(now, load, kinds, popularity.as_ref(), &mut what) });
+        let honors_retry_after =
+            draw::unit(seed, Stream::Clients, requests.len() as u64) < workload.honors_retry_after_share;
+        let request = draw_request(now, workload, classes, popularity.as_ref(), &mut contents);
+        requests.push(ClientRequest { honors_retry_after, ..request });
     }
 }
 
-/// The object that has a rank at this time. Each rank goes over to another object now and then, each in its own time, so
-/// that of a hundred ranks `100 * drift` have done so after a second.
-fn object(rank: u64, now: Micros, load: &Load) -> u64 {
-    /// From object to object of a rank: a prime, so that neighbours part.
+/// The object that holds a popularity rank at time `now`. Each rank passes to another object at its own moments, so that
+/// of 100 ranks `100 * drift` have changed after one second.
+fn object(rank: u64, now: Micros, workload: &Workload) -> u64 {
+    /// Distance between successive objects of a rank: a prime, so that neighbouring ranks take unrelated objects.
     const STRIDE: u64 = 7_919;
     let phase = draw::unit(1, Stream::Clients, rank);
-    let turns = (now as f64 / SECOND as f64 * load.drift + phase) as u64;
-    let place = rank.wrapping_add(turns.wrapping_mul(STRIDE)) % load.keys.max(1);
-    draw::unit(0, Stream::Requests, place).to_bits()
+    let changes = (now as f64 / SECOND as f64 * workload.drift + phase) as u64;
+    let index = rank.wrapping_add(changes.wrapping_mul(STRIDE)) % workload.keys.max(1);
+    draw::unit(0, Stream::Requests, index).to_bits()
 }
 
-fn ask(now: Micros, load: &Load, kinds: &[Kind], popularity: Option<&Zipf<f64>>, what: &mut impl Rng) -> Ask {
-    let mut left = what.random::<f64>() * kinds.iter().map(|kind| kind.share).sum::<f64>();
-    let kind = kinds.iter().position(|kind| {
-        left -= kind.share;
+fn draw_request(
+    now: Micros,
+    workload: &Workload,
+    classes: &[ClientClass],
+    popularity: Option<&Zipf<f64>>,
+    random: &mut impl Rng,
+) -> ClientRequest {
+    let mut left = random.random::<f64>() * classes.iter().map(|class| class.share).sum::<f64>();
+    let class = classes.iter().position(|class| {
+        left -= class.share;
         left < 0.0
     });
-    let kind = kind.unwrap_or(0);
-    let rank = popularity.map_or(1.0, |law| law.sample(what)) as u64;
-    let key = object(rank, now, load);
-    let work_us = draw::lognormal(what, kinds[kind].work_us, kinds[kind].cv);
-    let hint_us = draw::lognormal(what, work_us.max(1.0), 0.3);
-    let first = what.random::<f64>() < load.first_zone;
-    let zone = if first || load.zones < 2 { 0 } else { what.random_range(1..load.zones) };
-    let (least, span) = (load.try_share.0, load.try_share.1 - load.try_share.0);
-    let share = least + what.random::<f64>() * span;
-    let patience = (kinds[kind].class.deadline.as_micros() as f64 * share) as Micros;
-    Ask { at: now, kind, zone, key, work_us, hint_us, patience, heeds: false }
+    let class = class.unwrap_or(0);
+    let rank = popularity.map_or(1.0, |law| law.sample(random)) as u64;
+    let key = object(rank, now, workload);
+    let work_us = draw::lognormal(random, classes[class].work_us, classes[class].cv);
+    let hint_us = draw::lognormal(random, work_us.max(1.0), 0.3);
+    let first = random.random::<f64>() < workload.first_zone_share;
+    let zone = if first || workload.zones < 2 { 0 } else { random.random_range(1..workload.zones) };
+    let (min, range) =
+        (workload.try_timeout_shares.0, workload.try_timeout_shares.1 - workload.try_timeout_shares.0);
+    let share = min + random.random::<f64>() * range;
+    let try_timeout = (classes[class].config.deadline.as_micros() as f64 * share) as Micros;
+    ClientRequest { at: now, class, zone, key, work_us, hint_us, try_timeout, honors_retry_after: false }
 }
 
 #[cfg(test)]
--- a/lab/src/model/clients/tests.rs
+++ b/lab/src/model/clients/tests.rs
@@ -1,58 +1,65 @@
 use super::*;
 
-fn load() -> Load {
-    Load {
-        rate: 200.0,
+fn workload() -> Workload {
+    Workload {
+        rate_per_s: 200.0,
         swing: 0.1,
         zones: 2,
-        first_zone: 0.6,
+        first_zone_share: 0.6,
         keys: 1_000,
         zipf: 0.9,
         drift: 0.0,
-        try_share: (0.5, 0.6),
-        heeds: 0.5,
+        try_timeout_shares: (0.5, 0.6),
+        honors_retry_after_share: 0.5,
     }
 }
 
-// Guards against clients that do what the protocol's clients never do: a charge sent again by its client would
-// look like a node's.
+// Guards against retries that clients of the protocol never make: the judges would blame a node for a charge that its
+// client sent twice.
 #[test]
-fn clients_repeat_what_does_no_harm_alone() {
-    let keyed = kinds()[3].class.effect;
+fn clients_retry_only_where_repeated_execution_is_harmless() {
+    let keyed = client_classes()[3].config.effect;
     let all = [Effect::Safe, Effect::Unsafe, keyed];
-    assert!(all.iter().all(|&effect| repeats(effect, End::Refused, 0)));
-    assert!(all.iter().all(|&effect| repeats(effect, End::Unreached, 0)));
-    assert!(all.iter().all(|&effect| !repeats(effect, End::Served, 0)));
-    assert_eq!(all.map(|effect| repeats(effect, End::None, 2 * SECOND)), [true, false, true]);
-    assert_eq!(all.map(|effect| repeats(effect, End::Failed, 4 * SECOND)), [true, false, false]);
+    assert!(all.iter().all(|&effect| should_retry(effect, ClientOutcome::Refused, 0)));
+    assert!(all.iter().all(|&effect| should_retry(effect, ClientOutcome::Unreachable, 0)));
+    assert!(all.iter().all(|&effect| !should_retry(effect, ClientOutcome::Served, 0)));
+    let after_2_s = all.map(|effect| should_retry(effect, ClientOutcome::Unanswered, 2 * SECOND));
+    assert_eq!(after_2_s, [true, false, true]);
+    let after_4_s = all.map(|effect| should_retry(effect, ClientOutcome::Failed, 4 * SECOND));
+    assert_eq!(after_4_s, [true, false, false]);
 }
 
 #[test]
-fn arrivals_keep_their_rate_their_classes_and_their_zones() {
-    let asks = arrivals(1, 60 * SECOND, &load(), &kinds());
-    assert!((11_000..13_000).contains(&asks.len()), "{}", asks.len());
-    let part =
-        |of: &dyn Fn(&Ask) -> bool| asks.iter().filter(|ask| of(ask)).count() as f64 / asks.len() as f64;
-    assert!((part(&|ask| ask.kind == 0) - 0.605).abs() < 0.02);
-    assert!((part(&|ask| ask.zone == 0) - 0.6).abs() < 0.02);
-    let work = asks.iter().filter(|ask| ask.kind == 0).map(|ask| ask.work_us);
-    let mean = work.sum::<f64>() / (part(&|ask| ask.kind == 0) * asks.len() as f64);
+fn requests_match_the_configured_rate_classes_and_zones() {
+    let requests = generate_requests(1, 60 * SECOND, &workload(), &client_classes());
+    assert!((11_000..13_000).contains(&requests.len()), "{}", requests.len());
+    let share = |matches: &dyn Fn(&ClientRequest) -> bool| {
+        requests.iter().filter(|request| matches(request)).count() as f64 / requests.len() as f64
+    };
+    assert!((share(&|request| request.class == 0) - 0.605).abs() < 0.02);
+    assert!((share(&|request| request.zone == 0) - 0.6).abs() < 0.02);
+    let work = requests.iter().filter(|request| request.class == 0).map(|request| request.work_us);
+    let mean = work.sum::<f64>() / (share(&|request| request.class == 0) * requests.len() as f64);
     assert!((mean / 86_000.0 - 1.0).abs() < 0.06, "{mean}");
-    assert!(asks.windows(2).all(|pair| pair[0].at <= pair[1].at));
+    assert!(requests.windows(2).all(|pair| pair[0].at <= pair[1].at));
 }
 
-// Guards against a drift that moves every rank at once: no object would be popular for longer than an instant.
+// Guards against a drift that changes all ranks at once, so that no object stays popular.
 #[test]
-fn each_second_the_drift_moves_that_part_of_the_ranks_and_leaves_the_others() {
-    let load = Load { drift: 0.05, ..load() };
-    let moved = |to: Micros| (0..1_000).filter(|&r| object(r, 0, &load) != object(r, to, &load)).count();
-    assert!((30..70).contains(&moved(SECOND)), "{}", moved(SECOND));
-    assert!((430..570).contains(&moved(10 * SECOND)), "{}", moved(10 * SECOND));
+fn drift_changes_the_configured_fraction_of_ranks_each_second() {
+    let workload = Workload { drift: 0.05, ..workload() };
+    let changed =
+        |to: Micros| (0..1_000).filter(|&r| object(r, 0, &workload) != object(r, to, &workload)).count();
+    assert!((30..70).contains(&changed(SECOND)), "{}", changed(SECOND));
+    assert!((430..570).contains(&changed(10 * SECOND)), "{}", changed(10 * SECOND));
 }
 
 #[test]
-fn the_same_seed_draws_the_same_and_another_one_others() {
-    let drawn = |seed| arrivals(seed, SECOND, &load(), &kinds()).iter().map(|a| a.key).collect::<Vec<_>>();
-    assert_eq!(drawn(1), drawn(1));
-    assert_ne!(drawn(1), drawn(2));
+fn requests_depend_on_the_seed_alone() {
+    let keys = |seed| {
+        let requests = generate_requests(seed, SECOND, &workload(), &client_classes());
+        requests.iter().map(|request| request.key).collect::<Vec<_>>()
+    };
+    assert_eq!(keys(1), keys(1));
+    assert_ne!(keys(1), keys(2));
 }
--- a/lab/src/model/fleet.rs
+++ b/lab/src/model/fleet.rs
@@ -1,142 +1,143 @@
-//! The cache servers and the origin together, with the faults that meet them: the part of the outside world that both
-//! drivers run. Time is an argument; what is to happen later is asked of the driver.
+//! The cache servers and the origin, with the faults that affect them: the part of the model that both drivers run. The
+//! current time is an argument; the driver schedules later events on request.
 
-use super::origin::{Begun, Origin};
-use super::server::{Does, Job, Said, Server};
+use super::origin::{Origin, StartedFetch};
+use super::server::{Job, Server, ServerAction, ServerResponse};
 use super::{micros, Micros};
 use crate::draw::{self, Stream};
-use crate::experiment::{Trouble, What};
-use crate::plan::{Plan, WEIGHTS_EVERY};
+use crate::experiment::{FaultKind, ScheduledFault};
+use crate::plan::{Plan, WEIGHT_UPDATE_INTERVAL};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::sync::Arc;
 use walkpick::{Availability, LoadReport, ServerEntry, ServerId, Timestamp};
 
-/// What a driver has to bring back at its time.
+/// An event that a driver returns to the fleet at its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// A server wants to be called.
-    ServerWakes {
-        /// Its place.
+pub enum ScheduledEvent {
+    /// The timer of a server fires.
+    ServerTimer {
+        /// Index of the server.
         server: usize,
-        /// In which of its lives.
-        life: u32,
-        /// Its own number for the call.
-        turn: u64,
+        /// The incarnation that set the timer.
+        incarnation: u32,
+        /// Identifies the timer.
+        timer_id: u64,
     },
-    /// The origin ends a work.
-    OriginEnds {
-        /// The server that asked.
+    /// The origin completes a fetch or a write.
+    OriginCompletes {
+        /// Index of the server that requested it.
         server: usize,
-        /// In which of its lives.
-        life: u32,
-        /// For which job.
+        /// The incarnation that requested it.
+        incarnation: u32,
+        /// The job that it is for.
         job: u64,
     },
-    /// Weights are told anew.
-    Weights,
-    /// A fault of the schedule begins, goes on to its next step or ends.
+    /// New weights are published.
+    WeightUpdate,
+    /// A scheduled fault begins, reaches its next step or ends.
     Fault {
-        /// Its place.
-        trouble: usize,
-        /// Whether it begins.
+        /// Index on the schedule.
+        fault: usize,
+        /// False where it ends.
         begins: bool,
-        /// How far it is.
+        /// Number of the step.
         step: usize,
     },
 }
 
-/// What comes of something for the driver.
+/// An output of the fleet, for the driver to act on.
 #[derive(Clone, Debug)]
-pub enum Out {
-    /// Bring this back then.
-    Later(Micros, Due),
-    /// A server answers a job.
-    Says {
-        /// Its place.
+pub enum FleetOutput {
+    /// Return this event to the fleet at this time.
+    Schedule(Micros, ScheduledEvent),
+    /// A server responds to an attempt.
+    Respond {
+        /// Index of the server.
         server: usize,
-        /// The job.
+        /// The attempt.
         job: u64,
-        /// What.
-        said: Said,
+        /// The response.
+        response: ServerResponse,
     },
-    /// A job may have run from here on.
-    Runs(u64),
-    /// A cold server was sent more than it could bear; this part of the work came from nodes that knew of its start.
-    Falls {
-        /// Its place.
+    /// A server starts an attempt: the request may have been executed from here on.
+    Started(u64),
+    /// A server crashed from overload while cold.
+    ColdCrash {
+        /// Index of the server.
         server: usize,
-        /// The part.
-        told: f64,
+        /// Share of the work from nodes that had been notified of its start.
+        notified_share: f64,
     },
-    /// Discovery has a change to tell.
-    Tells(Arc<[ServerEntry]>),
-    /// Some server cannot be reached any more, as its machine says.
-    Reach,
-    /// Servers are back as new processes: connections of before are gone.
-    Back(Vec<usize>),
-    /// A fault that meets nodes, links or discovery.
-    Other {
-        /// Its place on the schedule.
-        trouble: usize,
-        /// Whether it begins.
+    /// Discovery publishes changed entries.
+    Publish(Arc<[ServerEntry]>),
+    /// Some servers became unreachable, as `Machine::unresponsive` and `Machine::availability` show.
+    ReachabilityChanged,
+    /// These servers restarted: their earlier connections are closed.
+    Restarted(Vec<usize>),
+    /// A fault that affects nodes, links or discovery.
+    ExternalFault {
+        /// Index on the schedule.
+        fault: usize,
+        /// False where it ends.
         begins: bool,
-        /// How far it is.
+        /// Number of the step.
         step: usize,
     },
 }
 
-/// One cache server's machine.
+/// The machine of a cache server.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name.
+    /// Name of the server.
     pub id: ServerId,
-    /// Place of its zone.
+    /// Index of its zone.
     pub zone: usize,
     /// Its process.
     pub server: Server,
-    /// Counts its processes.
-    pub life: u32,
-    /// Whether it says nothing.
+    /// Incremented when the process is silenced or restarted; events of earlier incarnations are ignored.
+    pub incarnation: u32,
+    /// Whether a fault suppresses all its responses.
     pub silent: bool,
-    /// What discovery would say of it now.
+    /// Its actual availability, of which discovery notifies nodes later.
     pub availability: Availability,
-    /// As discovery tells of it.
+    /// Its entry as discovery publishes it.
     pub entry: ServerEntry,
-    erring: Vec<(Option<usize>, f64)>,
-    /// Parts of its answers that break off, one for each fault that is on.
-    breaking: Vec<f64>,
+    /// The active error faults: the affected class (all where `None`) and the share of requests that fail.
+    error_faults: Vec<(Option<usize>, f64)>,
+    /// The active truncation faults: the share of responses that break off.
+    truncation_faults: Vec<f64>,
 }
 
 impl Machine {
-    /// Whether it says nothing, for whichever reason.
-    pub fn mute(&self) -> bool {
-        self.silent || self.server.fallen()
+    /// Whether it does not respond, from a fault or a crash.
+    pub fn unresponsive(&self) -> bool {
+        self.silent || self.server.crashed()
     }
 }
 
-/// An attempt as it comes to a server.
+/// An attempt as it arrives at a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Come {
-    /// Its number.
+pub struct Arrival {
+    /// Identifies the attempt.
     pub job: u64,
-    /// Place of its request.
-    pub ask: usize,
-    /// What its own draws are named by.
-    pub name: u64,
-    /// Whether its connection is new.
-    pub fresh: bool,
-    /// Whether its node had been told of this start of the server's.
-    pub told: bool,
+    /// Index of the client's request.
+    pub request: usize,
+    /// Identifies the attempt in random draws.
+    pub draw_id: u64,
+    /// Whether it came on a new connection.
+    pub new_connection: bool,
+    /// Whether its node had been notified of this start of the server.
+    pub notified: bool,
 }
 
 /// All servers and the origin.
 #[derive(Debug)]
 pub struct Fleet {
     plan: Rc<Plan>,
-    /// The nodes' clocks at the start of the run.
+    /// Reading of the nodes' clocks at the start of the run.
     epoch: Micros,
-    /// All that there ever were.
+    /// All servers, including removed ones.
     pub machines: Vec<Machine>,
     by_id: HashMap<ServerId, usize>,
     /// The origin.
@@ -144,7 +145,7 @@
 }
 
 impl Fleet {
-    /// As the plan has it; nodes' clocks read `epoch` at the start.
+    /// The fleet of a plan. `epoch`: reading of the nodes' clocks at the start of the run.
     pub fn new(plan: Rc<Plan>, epoch: Micros) -> Self {
         let origin = Origin::new(plan.origin, draw::stream(plan.seed, Stream::Origin));
         let servers = plan.experiment.deployment.servers as usize;
@@ -155,36 +156,37 @@
         fleet
     }
 
-    /// The run begins now, at this time of the nodes' clocks.
-    pub fn begin(&mut self, epoch: Micros) {
+    /// Sets the reading of the nodes' clocks at the start of the run.
+    pub fn set_epoch(&mut self, epoch: Micros) {
         self.epoch = epoch;
     }
 
-    /// What is due without anybody's doing.
-    pub fn schedule(&self, faults: bool) -> Vec<(Micros, Due)> {
-        let mut due = vec![(WEIGHTS_EVERY, Due::Weights)];
-        for (trouble, fault) in self.plan.experiment.fault.iter().enumerate().filter(|_| faults) {
-            let (from, to) = (self.plan.lead() + micros(fault.from), self.plan.lead() + micros(fault.to));
-            due.push((from, Due::Fault { trouble, begins: true, step: 0 }));
-            due.push((to, Due::Fault { trouble, begins: false, step: 0 }));
+    /// Events to schedule at the start of the run. `faults`: whether the scheduled faults are among them.
+    pub fn initial_events(&self, faults: bool) -> Vec<(Micros, ScheduledEvent)> {
+        let mut events = vec![(WEIGHT_UPDATE_INTERVAL, ScheduledEvent::WeightUpdate)];
+        for (fault, scheduled) in self.plan.experiment.fault.iter().enumerate().filter(|_| faults) {
+            let (from, to) =
+                (self.plan.lead() + micros(scheduled.from), self.plan.lead() + micros(scheduled.to));
+            events.push((from, ScheduledEvent::Fault { fault, begins: true, step: 0 }));
+            events.push((to, ScheduledEvent::Fault { fault, begins: false, step: 0 }));
         }
-        due
+        events
     }
 
-    /// The place of a server.
-    pub fn place(&self, id: &ServerId) -> Option<usize> {
+    /// The index of a server.
+    pub fn index_of(&self, id: &ServerId) -> Option<usize> {
         self.by_id.get(id).copied()
     }
 
-    /// All servers that are not gone, as discovery lists them.
+    /// The entries of all servers that have not been removed.
     pub fn entries(&self) -> Vec<ServerEntry> {
-        let there = self.machines.iter().filter(|machine| machine.availability != Availability::Gone);
-        there.map(|machine| machine.entry.clone()).collect()
+        let present = self.machines.iter().filter(|machine| machine.availability != Availability::Gone);
+        present.map(|machine| machine.entry.clone()).collect()
     }
 
     fn add(&mut self, zone: usize, started: Option<Micros>) -> usize {
         let i = self.machines.len();
-        let (name, parts) = self.plan.server(i);
+        let (name, config) = self.plan.server_config(i);
         let id = ServerId::from(name.as_str());
         let entry = ServerEntry {
             zone: Some(self.plan.zones[zone].clone()),
@@ -196,246 +198,291 @@
         self.machines.push(Machine {
             id,
             zone,
-            server: Server::new(parts, started),
-            life: 0,
+            server: Server::new(config, started),
+            incarnation: 0,
             silent: false,
             availability: Availability::Ready,
-            erring: Vec::new(),
-            breaking: Vec::new(),
+            error_faults: Vec::new(),
+            truncation_faults: Vec::new(),
             entry,
         });
         i
     }
 
-    /// An attempt has come whole to a server. One that is mute takes it in and says nothing.
-    pub fn take(&mut self, now: Micros, server: usize, come: Come, out: &mut Vec<Out>) {
+    /// A complete attempt arrives at a server. An unresponsive one drops it.
+    pub fn receive(&mut self, now: Micros, server: usize, arrival: Arrival, out: &mut Vec<FleetOutput>) {
         let machine = &mut self.machines[server];
-        let job = come.job;
-        if machine.mute() {
+        let job = arrival.job;
+        if machine.unresponsive() {
             return;
         }
         if machine.availability != Availability::Ready {
-            return out.push(Out::Says { server, job, said: Said::Full });
+            return out.push(FleetOutput::Respond { server, job, response: ServerResponse::QueueFull });
         }
-        let ask = &self.plan.asks[come.ask];
-        let met = |kind: Option<usize>| kind.is_none_or(|kind| kind == ask.kind);
-        let spoilt = machine.erring.iter().any(|(kind, part)| met(*kind) && self.plan.errs(come.name, *part));
+        let request = &self.plan.requests[arrival.request];
+        let affected = |class: Option<usize>| class.is_none_or(|class| class == request.class);
+        let fails = machine
+            .error_faults
+            .iter()
+            .any(|(class, share)| affected(*class) && self.plan.errs(arrival.draw_id, *share));
         let job = Job {
             id: job,
-            key: ask.key,
-            work_us: ask.work_us,
-            write: self.plan.kinds[ask.kind].write,
-            fresh: come.fresh,
-            spoilt,
-            told: come.told,
+            key: request.key,
+            work_us: request.work_us,
+            write: self.plan.classes[request.class].write,
+            new_connection: arrival.new_connection,
+            fails,
+            notified: arrival.notified,
         };
-        let mut does = Vec::new();
-        machine.server.take(now, job, &mut does);
-        self.carry_out(now, server, does, out);
+        let mut actions = Vec::new();
+        machine.server.receive(now, job, &mut actions);
+        self.carry_out(now, server, actions, out);
     }
 
-    fn carry_out(&mut self, now: Micros, server: usize, does: Vec<Does>, out: &mut Vec<Out>) {
-        let life = self.machines[server].life;
-        for does in does {
-            match does {
-                Does::Says { job, said } => {
-                    let breaks =
-                        self.machines[server].breaking.iter().any(|part| self.plan.breaks(job, *part));
-                    let served = matches!(said, Said::Hit | Said::Miss);
-                    let said = if served && breaks { Said::Broken } else { said };
-                    out.push(Out::Says { server, job, said });
+    fn carry_out(
+        &mut self,
+        now: Micros,
+        server: usize,
+        actions: Vec<ServerAction>,
+        out: &mut Vec<FleetOutput>,
+    ) {
+        let incarnation = self.machines[server].incarnation;
+        for action in actions {
+            match action {
+                ServerAction::Respond { job, response } => {
+                    let truncated = self.machines[server]
+                        .truncation_faults
+                        .iter()
+                        .any(|share| self.plan.truncates(job, *share));
+                    let served = matches!(response, ServerResponse::Hit | ServerResponse::Miss);
+                    let response = if served && truncated { ServerResponse::Truncated } else { response };
+                    out.push(FleetOutput::Respond { server, job, response });
+                }
+                ServerAction::Start(job) => out.push(FleetOutput::Started(job)),
+                ServerAction::Fetch { job } => {
+                    let mut started = Vec::new();
+                    self.origin.request(now, (server as u64) << 40 | job, &mut started);
+                    self.schedule_completions(started, out);
+                }
+                ServerAction::Invalidate(key) => {
+                    self.machines.iter_mut().for_each(|machine| machine.server.invalidate(key))
                 }
-                Does::Runs(job) => out.push(Out::Runs(job)),
-                Does::Asks { job } => {
-                    let mut begun = Vec::new();
-                    self.origin.ask(now, (server as u64) << 40 | job, &mut begun);
-                    self.begins(begun, out);
+                ServerAction::SetTimer { at, timer_id } => {
+                    out.push(FleetOutput::Schedule(
+                        at,
+                        ScheduledEvent::ServerTimer { server, incarnation, timer_id },
+                    ));
                 }
-                Does::Voids(key) => self.machines.iter_mut().for_each(|machine| machine.server.void(key)),
-                Does::Wakes { at, turn } => {
-                    out.push(Out::Later(at, Due::ServerWakes { server, life, turn }));
+                ServerAction::Crash { notified_share } => {
+                    out.push(FleetOutput::ColdCrash { server, notified_share })
                 }
-                Does::Falls { told } => out.push(Out::Falls { server, told }),
             }
         }
     }
 
-    fn begins(&self, begun: Vec<Begun>, out: &mut Vec<Out>) {
-        for Begun { fetch, at } in begun {
+    fn schedule_completions(&self, started: Vec<StartedFetch>, out: &mut Vec<FleetOutput>) {
+        for StartedFetch { fetch, ends_at } in started {
             let (server, job) = ((fetch >> 40) as usize, fetch & ((1 << 40) - 1));
-            let life = self.machines[server].life;
-            out.push(Out::Later(at, Due::OriginEnds { server, life, job }));
+            let incarnation = self.machines[server].incarnation;
+            out.push(FleetOutput::Schedule(
+                ends_at,
+                ScheduledEvent::OriginCompletes { server, incarnation, job },
+            ));
         }
     }
 
-    /// A server's load as an answer carries it, where the deployment has reports.
-    pub fn report(&mut self, now: Micros, server: usize, job: u64) -> LoadReport {
+    /// A server's load as a response carries it; empty where the deployment has no reports.
+    pub fn load_report(&mut self, now: Micros, server: usize, job: u64) -> LoadReport {
         if !self.plan.experiment.deployment.reports {
             return LoadReport::default();
         }
         let noise = draw::unit(self.plan.seed, Stream::Errors, job ^ 1 << 52);
-        self.machines[server].server.report(now, noise)
+        self.machines[server].server.load_report(now, noise)
     }
 
-    /// A probe comes to a server; whether it is answered, and well.
-    pub fn probed(&mut self, now: Micros, server: usize, out: &mut Vec<Out>) -> Option<bool> {
+    /// Sends a probe to a server. Returns whether it succeeds, or `None` where there is no answer.
+    pub fn probe(&mut self, now: Micros, server: usize, out: &mut Vec<FleetOutput>) -> Option<bool> {
         let machine = &mut self.machines[server];
-        if machine.mute() {
+        if machine.unresponsive() {
             return None;
         }
-        let mut does = Vec::new();
-        let taken = machine.server.probed(now, &mut does) && machine.availability == Availability::Ready;
-        self.carry_out(now, server, does, out);
-        Some(taken)
+        let mut actions = Vec::new();
+        let succeeded =
+            machine.server.probe(now, &mut actions) && machine.availability == Availability::Ready;
+        self.carry_out(now, server, actions, out);
+        Some(succeeded)
     }
 
-    /// What was asked for is due.
-    pub fn due(&mut self, now: Micros, due: Due, out: &mut Vec<Out>) {
-        match due {
-            Due::ServerWakes { server, life, turn } => {
-                if self.machines[server].life == life && !self.machines[server].silent {
-                    let mut does = Vec::new();
-                    self.machines[server].server.wakes(now, turn, &mut does);
-                    self.carry_out(now, server, does, out);
+    /// Handles a scheduled event at its time.
+    pub fn handle(&mut self, now: Micros, event: ScheduledEvent, out: &mut Vec<FleetOutput>) {
+        match event {
+            ScheduledEvent::ServerTimer { server, incarnation, timer_id } => {
+                if self.machines[server].incarnation == incarnation && !self.machines[server].silent {
+                    let mut actions = Vec::new();
+                    self.machines[server].server.on_timer(now, timer_id, &mut actions);
+                    self.carry_out(now, server, actions, out);
                 }
             }
-            Due::OriginEnds { server, life, job } => {
-                let mut begun = Vec::new();
-                let done = self.origin.end(now, &mut begun);
-                self.begins(begun, out);
+            ScheduledEvent::OriginCompletes { server, incarnation, job } => {
+                let mut started = Vec::new();
+                let succeeded = self.origin.complete(now, &mut started);
+                self.schedule_completions(started, out);
                 let machine = &mut self.machines[server];
-                if machine.life == life && !machine.silent {
-                    let mut does = Vec::new();
-                    machine.server.fetched(now, job, done, &mut does);
-                    self.carry_out(now, server, does, out);
+                if machine.incarnation == incarnation && !machine.silent {
+                    let mut actions = Vec::new();
+                    machine.server.complete_fetch(now, job, succeeded, &mut actions);
+                    self.carry_out(now, server, actions, out);
                 }
             }
-            Due::Weights => self.renew_weights(now, out),
-            Due::Fault { trouble, begins, step } => self.fault(now, trouble, begins, step, out),
+            ScheduledEvent::WeightUpdate => self.update_weights(now, out),
+            ScheduledEvent::Fault { fault, begins, step } => self.apply_fault(now, fault, begins, step, out),
         }
     }
 
-    /// Live weights: the nominal size, lowered the more a server holds; the same for all nodes.
-    fn renew_weights(&mut self, now: Micros, out: &mut Vec<Out>) {
-        let mut renewed = Vec::new();
+    /// Publishes new weights, the same for all nodes: the nominal weight, divided by one plus the outstanding requests per
+    /// core.
+    fn update_weights(&mut self, now: Micros, out: &mut Vec<FleetOutput>) {
+        let mut updated = Vec::new();
         for machine in &mut self.machines {
             if machine.availability == Availability::Ready {
-                let held = machine.server.held() as f64 / self.plan.experiment.deployment.cores;
-                machine.entry.weight = 1.0 / (1.0 + held);
-                renewed.push(machine.entry.clone());
+                let per_core = machine.server.outstanding() as f64 / self.plan.experiment.deployment.cores;
+                machine.entry.weight = 1.0 / (1.0 + per_core);
+                updated.push(machine.entry.clone());
             }
         }
-        out.push(Out::Tells(renewed.into()));
-        out.push(Out::Later(now + WEIGHTS_EVERY, Due::Weights));
+        out.push(FleetOutput::Publish(updated.into()));
+        out.push(FleetOutput::Schedule(now + WEIGHT_UPDATE_INTERVAL, ScheduledEvent::WeightUpdate));
     }
 
-    fn fault(&mut self, now: Micros, trouble: usize, begins: bool, step: usize, out: &mut Vec<Out>) {
+    fn apply_fault(
+        &mut self,
+        now: Micros,
+        fault: usize,
+        begins: bool,
+        step: usize,
+        out: &mut Vec<FleetOutput>,
+    ) {
         let plan = Rc::clone(&self.plan);
-        let fault: &Trouble = &plan.experiment.fault[trouble];
-        let first = plan.experiment.deployment.servers as usize;
-        let met = || plan.met(trouble, first, fault.part);
-        match fault.what {
-            What::ServerSlow => {
-                for server in met() {
-                    let mut does = Vec::new();
-                    let times = if begins { fault.size } else { 1.0 };
-                    self.machines[server].server.slow(now, times, &mut does);
-                    self.carry_out(now, server, does, out);
+        let scheduled: &ScheduledFault = &plan.experiment.fault[fault];
+        let servers = plan.experiment.deployment.servers as usize;
+        let affected = || plan.affected(fault, servers, scheduled.part);
+        match scheduled.what {
+            FaultKind::ServerSlow => {
+                for server in affected() {
+                    let mut actions = Vec::new();
+                    let factor = if begins { scheduled.size } else { 1.0 };
+                    self.machines[server].server.set_slowdown(now, factor, &mut actions);
+                    self.carry_out(now, server, actions, out);
                 }
             }
-            What::ServerErring => {
-                let kind = fault.class.as_ref();
-                let kind = kind.and_then(|c| plan.kinds.iter().position(|k| k.class.name.as_str() == c));
-                for server in met() {
-                    let erring = &mut self.machines[server].erring;
+            FaultKind::ServerErring => {
+                let class = scheduled.class.as_ref();
+                let class = class.and_then(|name| {
+                    plan.classes.iter().position(|class| class.config.name.as_str() == name)
+                });
+                for server in affected() {
+                    let error_faults = &mut self.machines[server].error_faults;
                     match begins {
-                        true => erring.push((kind, fault.size)),
-                        false => erring.retain(|one| *one != (kind, fault.size)),
+                        true => error_faults.push((class, scheduled.size)),
+                        false => error_faults.retain(|active| *active != (class, scheduled.size)),
                     }
                 }
             }
-            What::ServerSpoilt => {
-                for server in met() {
-                    let breaking = &mut self.machines[server].breaking;
+            FaultKind::ServerSpoilt => {
+                for server in affected() {
+                    let truncation_faults = &mut self.machines[server].truncation_faults;
                     match begins {
-                        true => breaking.push(fault.size),
-                        false => breaking.retain(|part| *part != fault.size),
+                        true => truncation_faults.push(scheduled.size),
+                        false => truncation_faults.retain(|share| *share != scheduled.size),
                     }
                 }
             }
-            What::ServerSilent => self.silence(now, met(), begins, out),
-            What::ZoneSilent => {
+            FaultKind::ServerSilent => self.set_silent(now, affected(), begins, out),
+            FaultKind::ZoneSilent => {
                 let last = plan.zones.len() - 1;
-                let met = (0..first).filter(|&i| self.machines[i].zone == last).collect();
-                self.silence(now, met, begins, out);
+                let affected = (0..servers).filter(|&i| self.machines[i].zone == last).collect();
+                self.set_silent(now, affected, begins, out);
             }
-            What::ServersReplaced if begins => self.replace_next(now, trouble, step, out),
-            What::ServersReplaced => {}
-            What::OriginSilent => {
-                let mut begun = Vec::new();
-                self.origin.silence(now, begins, &mut begun);
-                self.begins(begun, out);
+            FaultKind::ServersReplaced if begins => self.replace_next(now, fault, step, out),
+            FaultKind::ServersReplaced => {}
+            FaultKind::OriginSilent => {
+                let mut started = Vec::new();
+                self.origin.set_silent(now, begins, &mut started);
+                self.schedule_completions(started, out);
             }
-            What::OriginErring => self.origin.err(if begins { fault.size } else { 0.0 }),
-            What::OriginSlow => self.origin.slow(if begins { fault.size } else { 1.0 }),
-            What::NodesRolled if begins => {
-                out.push(Out::Other { trouble, begins, step });
-                let nodes = plan.met(trouble, plan.experiment.deployment.nodes as usize, fault.part).len();
+            FaultKind::OriginErring => self.origin.set_error_share(if begins { scheduled.size } else { 0.0 }),
+            FaultKind::OriginSlow => self.origin.set_slowdown(if begins { scheduled.size } else { 1.0 }),
+            FaultKind::NodesRolled if begins => {
+                out.push(FleetOutput::ExternalFault { fault, begins, step });
+                let nodes =
+                    plan.affected(fault, plan.experiment.deployment.nodes as usize, scheduled.part).len();
                 if step + 1 < nodes {
-                    let pace = micros(fault.to).saturating_sub(micros(fault.from)) / nodes as Micros;
-                    out.push(Out::Later(now + pace.max(1), Due::Fault { trouble, begins, step: step + 1 }));
+                    let interval =
+                        micros(scheduled.to).saturating_sub(micros(scheduled.from)) / nodes as Micros;
+                    out.push(FleetOutput::Schedule(
+                        now + interval.max(1),
+                        ScheduledEvent::Fault { fault, begins, step: step + 1 },
+                    ));
                 }
             }
-            What::Link if begins => {
-                out.push(Out::Other { trouble, begins, step });
-                let end = plan.lead() + micros(fault.to);
-                let flap = fault.link.as_ref().and_then(|link| link.flap).map(micros);
+            FaultKind::Link if begins => {
+                out.push(FleetOutput::ExternalFault { fault, begins, step });
+                let end = plan.lead() + micros(scheduled.to);
+                let flap = scheduled.link.as_ref().and_then(|link| link.flap).map(micros);
                 if let Some(next) = flap.map(|flap| now + flap.max(1)).filter(|next| *next < end) {
-                    out.push(Out::Later(next, Due::Fault { trouble, begins, step: step + 1 }));
+                    out.push(FleetOutput::Schedule(
+                        next,
+                        ScheduledEvent::Fault { fault, begins, step: step + 1 },
+                    ));
                 }
             }
-            _ => out.push(Out::Other { trouble, begins, step }),
+            _ => out.push(FleetOutput::ExternalFault { fault, begins, step }),
         }
     }
 
-    fn silence(&mut self, now: Micros, met: Vec<usize>, begins: bool, out: &mut Vec<Out>) {
-        let mut back = Vec::new();
-        for &server in &met {
+    /// Silences servers; when the fault ends they restart, cold.
+    fn set_silent(&mut self, now: Micros, affected: Vec<usize>, begins: bool, out: &mut Vec<FleetOutput>) {
+        let mut restarted = Vec::new();
+        for &server in &affected {
             let machine = &mut self.machines[server];
             machine.silent = begins;
-            machine.life += 1;
+            machine.incarnation += 1;
             if !begins {
                 machine.server = machine.server.restarted(now);
                 machine.entry.started = Some(Timestamp::from_micros(self.epoch + now));
-                back.push(machine.entry.clone());
+                restarted.push(machine.entry.clone());
             }
         }
         if begins {
-            out.push(Out::Reach);
-        } else if !met.is_empty() {
-            out.push(Out::Back(met));
-            out.push(Out::Tells(back.into()));
+            out.push(FleetOutput::ReachabilityChanged);
+        } else if !affected.is_empty() {
+            out.push(FleetOutput::Restarted(affected));
+            out.push(FleetOutput::Publish(restarted.into()));
         }
     }
 
-    /// Drains one server, replaces it by a new one, and goes on to the next while the fault lasts. Each takes two
-    /// steps: draining, then gone with a new one in its place.
-    fn replace_next(&mut self, now: Micros, trouble: usize, step: usize, out: &mut Vec<Out>) {
-        let fault = &self.plan.experiment.fault[trouble];
-        let met = self.plan.met(trouble, self.plan.experiment.deployment.servers as usize, fault.part);
-        let Some(&server) = met.get(step / 2) else { return };
-        let span = micros(fault.to).saturating_sub(micros(fault.from));
-        let pace = span / (2 * met.len()).max(1) as Micros;
+    /// Replaces the affected servers one after the other while the fault lasts. Each takes two steps: it drains, then it
+    /// is removed and a new server takes its place.
+    fn replace_next(&mut self, now: Micros, fault: usize, step: usize, out: &mut Vec<FleetOutput>) {
+        let scheduled = &self.plan.experiment.fault[fault];
+        let affected =
+            self.plan.affected(fault, self.plan.experiment.deployment.servers as usize, scheduled.part);
+        let Some(&server) = affected.get(step / 2) else { return };
+        let duration = micros(scheduled.to).saturating_sub(micros(scheduled.from));
+        let interval = duration / (2 * affected.len()).max(1) as Micros;
         let state = if step.is_multiple_of(2) { Availability::Draining } else { Availability::Gone };
         let machine = &mut self.machines[server];
         (machine.availability, machine.entry.availability) = (state, state);
         let (zone, mut changed) = (machine.zone, vec![machine.entry.clone()]);
         if state == Availability::Gone {
-            out.push(Out::Reach);
+            out.push(FleetOutput::ReachabilityChanged);
             let new = self.add(zone, Some(now));
             changed.push(self.machines[new].entry.clone());
         }
-        out.push(Out::Tells(changed.into()));
-        out.push(Out::Later(now + pace.max(1), Due::Fault { trouble, begins: true, step: step + 1 }));
+        out.push(FleetOutput::Publish(changed.into()));
+        out.push(FleetOutput::Schedule(
+            now + interval.max(1),
+            ScheduledEvent::Fault { fault, begins: true, step: step + 1 },
+        ));
     }
 }
--- a/lab/src/model/links.rs
+++ b/lab/src/model/links.rs
@@ -1,105 +1,109 @@
-//! What the faults that are on make of the links between parties. Time a way takes is drawn from a generator that the
-//! driver gives.
+//! Impairments of the links between nodes and other systems, as caused by the active faults. Random delays are drawn
+//! from a generator that the driver passes in.
 
 use crate::draw::{self, Stream};
-use crate::experiment::{Direction, Party, What};
+use crate::experiment::{Direction, FaultKind, RemoteKind};
 use crate::plan::Plan;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::time::Duration;
 
-/// A lost segment is sent again after this time (the least time-out of TCP's senders, RFC 6298 as Linux has it).
-pub const AGAIN: Duration = Duration::from_millis(200);
-/// Doubled so often at the most.
-const MOST_AGAIN: u32 = 6;
-/// Draws for the servers that a fault on links meets are named apart from those for the nodes.
-const OTHER_PARTY: usize = 1_000;
+/// Delay before the first retransmission of a lost segment: the minimum retransmission timeout of TCP senders (RFC
+/// 6298, with Linux's value). It doubles with each further loss.
+pub const MIN_RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
+/// A segment is lost at most this many times in a row.
+const MAX_RETRANSMITS: u32 = 6;
+/// Offset of the fault index in the draws that select the affected servers of a link fault, so that they are independent
+/// of those that select its nodes.
+const SERVER_DRAW_OFFSET: usize = 1_000;
 
-/// What one direction of a link does.
+/// What happens to traffic in one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
-    /// Every piece takes this long.
+pub struct Impairment {
+    /// Fixed extra delay.
     pub delay: Duration,
-    /// And up to this much longer, by chance.
+    /// Maximum of the random delay that is added to it.
     pub jitter: Duration,
-    /// Part of the pieces that are lost: a stream's come again later, a datagram never.
+    /// Probability of loss: stream data is retransmitted, datagrams are dropped.
     pub loss: f64,
-    /// Part of the datagrams that come twice.
+    /// Probability that a datagram is delivered twice.
     pub duplicate: f64,
-    /// Part of the datagrams that come after those behind them.
+    /// Probability that a datagram is delivered after later ones.
     pub reorder: f64,
     /// Nothing gets through.
     pub silent: bool,
 }
 
-impl Way {
-    /// How long a piece of a stream takes; nothing on it overtakes.
-    pub fn takes(&self, random: &mut impl Rng) -> Duration {
-        let mut takes = self.delay;
+impl Impairment {
+    /// Draws the extra delay of a piece of a stream, retransmissions included.
+    pub fn stream_delay(&self, random: &mut impl Rng) -> Duration {
+        let mut delay = self.delay;
         if !self.jitter.is_zero() {
-            takes += self.jitter.mul_f64(random.random());
+            delay += self.jitter.mul_f64(random.random());
         }
-        let mut again = 0;
-        while self.loss > 0.0 && again < MOST_AGAIN && random.random::<f64>() < self.loss {
-            takes += AGAIN * 2_u32.pow(again);
-            again += 1;
+        let mut losses = 0;
+        while self.loss > 0.0 && losses < MAX_RETRANSMITS && random.random::<f64>() < self.loss {
+            delay += MIN_RETRANSMIT_TIMEOUT * 2_u32.pow(losses);
+            losses += 1;
         }
-        takes
+        delay
     }
 
-    /// The same, drawn for `what` alone.
-    pub fn takes_for(&self, seed: u64, what: u64) -> Duration {
+    /// Like [`Self::stream_delay`], with draws that depend on `seed` and `draw_id` alone.
+    pub fn stream_delay_for(&self, seed: u64, draw_id: u64) -> Duration {
         if *self == Self::default() {
             return Duration::ZERO;
         }
-        let draw = draw::unit(seed, Stream::Network, what ^ 1 << 55).to_bits();
-        self.takes(&mut Xoshiro256PlusPlus::seed_from_u64(draw))
+        let draw = draw::unit(seed, Stream::Network, draw_id ^ 1 << 55).to_bits();
+        self.stream_delay(&mut Xoshiro256PlusPlus::seed_from_u64(draw))
     }
 
-    fn add(&mut self, more: &Self) {
-        self.delay += more.delay;
-        self.jitter += more.jitter;
-        self.loss = 1.0 - (1.0 - self.loss) * (1.0 - more.loss);
-        self.duplicate = self.duplicate.max(more.duplicate);
-        self.reorder = self.reorder.max(more.reorder);
-        self.silent |= more.silent;
+    /// Combines another impairment of the same direction into this one.
+    fn add(&mut self, other: &Self) {
+        self.delay += other.delay;
+        self.jitter += other.jitter;
+        self.loss = 1.0 - (1.0 - self.loss) * (1.0 - other.loss);
+        self.duplicate = self.duplicate.max(other.duplicate);
+        self.reorder = self.reorder.max(other.reorder);
+        self.silent |= other.silent;
     }
 }
 
-/// Both directions: from the party that connects, and to it.
+/// Impairments of both directions of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ways {
-    /// From the party that connects.
-    pub there: Way,
-    /// To it.
-    pub back: Way,
+pub struct LinkImpairment {
+    /// From the side that connects.
+    pub forward: Impairment,
+    /// To the side that connects.
+    pub backward: Impairment,
 }
 
-impl Ways {
-    /// Whether no connection can come up.
+impl LinkImpairment {
+    /// Whether no connection can be established.
     pub fn silent(&self) -> bool {
-        self.there.silent || self.back.silent
+        self.forward.silent || self.backward.silent
     }
 }
 
-/// A fault on links, and whom it meets.
+/// An active link fault and the links that it affects.
 #[derive(Clone, Debug)]
-pub struct Met {
-    trouble: usize,
-    /// Whom nodes have these links with.
-    pub party: Party,
-    ways: Ways,
-    /// The nodes.
+pub struct ActiveLinkFault {
+    /// Index on the schedule.
+    fault: usize,
+    /// What the affected links connect the nodes to.
+    pub remote: RemoteKind,
+    impairment: LinkImpairment,
+    /// The affected nodes.
     pub nodes: Vec<usize>,
-    /// The servers, where the links are to servers.
+    /// The affected servers, where `remote` is [`RemoteKind::Server`].
     pub servers: Vec<usize>,
 }
 
-impl Met {
-    fn of(plan: &Plan, trouble: usize) -> Option<Self> {
-        let (fault, parts) = (&plan.experiment.fault[trouble], &plan.experiment.deployment);
-        let link = fault.link.as_ref().filter(|_| fault.what == What::Link)?;
-        let way = Way {
+impl ActiveLinkFault {
+    fn new(plan: &Plan, fault: usize) -> Option<Self> {
+        let (scheduled, deployment) = (&plan.experiment.fault[fault], &plan.experiment.deployment);
+        let link = scheduled.link.as_ref().filter(|_| scheduled.what == FaultKind::Link)?;
+        let impairment = Impairment {
             delay: link.delay,
             jitter: link.jitter,
             loss: link.loss,
@@ -107,63 +111,64 @@
             reorder: link.reorder,
             silent: link.silent,
         };
-        let of = |on: bool| if on { way } else { Way::default() };
+        let impaired_if = |on: bool| if on { impairment } else { Impairment::default() };
         Some(Self {
-            trouble,
-            party: link.to,
-            ways: Ways {
-                there: of(link.direction != Direction::Back),
-                back: of(link.direction != Direction::There),
+            fault,
+            remote: link.to,
+            impairment: LinkImpairment {
+                forward: impaired_if(link.direction != Direction::Back),
+                backward: impaired_if(link.direction != Direction::There),
             },
-            nodes: plan.met(trouble, parts.nodes as usize, fault.part),
-            servers: plan.met(trouble + OTHER_PARTY, parts.servers as usize, link.other_part),
+            nodes: plan.affected(fault, deployment.nodes as usize, scheduled.part),
+            servers: plan.affected(fault + SERVER_DRAW_OFFSET, deployment.servers as usize, link.other_part),
         })
     }
 
-    fn meets(&self, node: usize, party: Party, server: usize) -> bool {
-        self.party == party
+    fn affects(&self, node: usize, remote: RemoteKind, server: usize) -> bool {
+        self.remote == remote
             && self.nodes.contains(&node)
-            && (party != Party::Server || self.servers.contains(&server))
+            && (remote != RemoteKind::Server || self.servers.contains(&server))
     }
 }
 
-/// The faults on links that are on.
+/// The active link faults.
 #[derive(Debug, Default)]
-pub struct Links(Vec<Met>);
+pub struct Links(Vec<ActiveLinkFault>);
 
 impl Links {
-    /// A fault goes on or off. Gives back whom it meets.
-    pub fn switch(&mut self, plan: &Plan, trouble: usize, on: bool) -> Option<Met> {
-        self.0.retain(|met| met.trouble != trouble);
-        let met = Met::of(plan, trouble)?;
+    /// Switches a fault on or off. Returns the links that it affects.
+    pub fn set_fault(&mut self, plan: &Plan, fault: usize, on: bool) -> Option<ActiveLinkFault> {
+        self.0.retain(|active| active.fault != fault);
+        let active = ActiveLinkFault::new(plan, fault)?;
         if on {
-            self.0.push(met.clone());
+            self.0.push(active.clone());
         }
-        Some(met)
+        Some(active)
     }
 
-    /// What the way from one node to another does. A fault meets it where it meets one of the two: `there` is from those
-    /// that it meets. Where it meets both, silence leaves them together, and all else is on their way too.
-    pub fn between_peers(&self, one: usize, two: usize) -> Way {
-        let mut way = Way::default();
-        for met in self.0.iter().filter(|met| met.party == Party::Peer) {
-            match (met.nodes.contains(&one), met.nodes.contains(&two)) {
-                (true, false) => way.add(&met.ways.there),
-                (false, true) => way.add(&met.ways.back),
-                (true, true) => way.add(&Way { silent: false, ..met.ways.there }),
+    /// The impairment of traffic from node `one` to node `two`. A fault that affects one of them applies with `forward`
+    /// away from that node and `backward` towards it. A fault that affects both applies with `forward`, except that
+    /// `silent` does not separate them.
+    pub fn between_peers(&self, one: usize, two: usize) -> Impairment {
+        let mut impairment = Impairment::default();
+        for active in self.0.iter().filter(|active| active.remote == RemoteKind::Peer) {
+            match (active.nodes.contains(&one), active.nodes.contains(&two)) {
+                (true, false) => impairment.add(&active.impairment.forward),
+                (false, true) => impairment.add(&active.impairment.backward),
+                (true, true) => impairment.add(&Impairment { silent: false, ..active.impairment.forward }),
                 _ => {}
             }
         }
-        way
+        impairment
     }
 
-    /// What the link of a node does.
-    pub fn ways(&self, node: usize, party: Party, server: usize) -> Ways {
-        let mut ways = Ways::default();
-        for met in self.0.iter().filter(|met| met.meets(node, party, server)) {
-            ways.there.add(&met.ways.there);
-            ways.back.add(&met.ways.back);
+    /// The impairment of a node's link to a remote system. `server` counts only where that is a server.
+    pub fn impairment(&self, node: usize, remote: RemoteKind, server: usize) -> LinkImpairment {
+        let mut impairment = LinkImpairment::default();
+        for active in self.0.iter().filter(|active| active.affects(node, remote, server)) {
+            impairment.forward.add(&active.impairment.forward);
+            impairment.backward.add(&active.impairment.backward);
         }
-        ways
+        impairment
     }
 }
--- a/lab/src/model/mod.rs
+++ b/lab/src/model/mod.rs
@@ -1,4 +1,5 @@
-//! The outside systems, sans-I/O: time is an argument, in microseconds since the run began.
+//! Models of the systems around the nodes. They do no I/O: the current time is an argument, in microseconds since the
+//! start of the run.
 
 pub mod clients;
 pub mod discovery;
@@ -7,13 +8,13 @@
 pub mod origin;
 pub mod server;
 
-/// Microseconds since the run began.
+/// Microseconds since the start of the run.
 pub type Micros = u64;
 
-/// Microseconds of a second.
+/// Microseconds per second.
 pub const SECOND: Micros = 1_000_000;
 
-/// A duration in microseconds.
+/// Converts a duration to microseconds, saturating at the maximum.
 pub fn micros(time: std::time::Duration) -> Micros {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
--- a/lab/src/model/origin.rs
+++ b/lab/src/model/origin.rs
@@ -1,5 +1,5 @@
-//! The origin: slow, with few places, going on with work that nobody waits for, and falling over when it is asked far
-//! more than it can do for too long (operators' page, "Cache boxes in detail").
+//! The origin: slow, with a limited number of slots. It finishes work that nobody waits for any more, and crashes when
+//! requests exceed a multiple of its capacity for too long (operators' page, "Cache boxes in detail").
 
 use super::{Micros, SECOND};
 use crate::draw;
@@ -7,129 +7,131 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::VecDeque;
 
-/// A fetch or a write that is out, by its number.
+/// Identifies a fetch or a write in flight.
 pub type FetchId = u64;
 
-/// What the origin is.
+/// Parameters of the origin.
 #[derive(Clone, Copy, Debug)]
-pub struct OriginParts {
-    /// Asks worked on at once.
-    pub places: usize,
-    /// Mean time of one, in microseconds.
-    pub mean_us: f64,
-    /// Asked over this multiple of what it can do for `fall_us`, it stops for `down_us`.
-    pub fall_multiple: f64,
-    /// See `fall_multiple`.
-    pub fall_us: Micros,
-    /// See `fall_multiple`.
+pub struct OriginConfig {
+    /// Requests in service at once.
+    pub slots: usize,
+    /// Mean service time, in microseconds.
+    pub mean_service_us: f64,
+    /// The origin crashes when requests exceed this multiple of its capacity over `overload_window_us`.
+    pub overload_multiple: f64,
+    /// See `overload_multiple`.
+    pub overload_window_us: Micros,
+    /// How long it is down after a crash.
     pub down_us: Micros,
 }
 
 /// The origin.
 #[derive(Debug)]
 pub struct Origin {
-    parts: OriginParts,
+    config: OriginConfig,
     random: Xoshiro256PlusPlus,
     busy: usize,
     queue: VecDeque<FetchId>,
-    /// How many times slower it is at present.
-    slow: f64,
-    /// Asks of the last `fall_us`.
-    asked: VecDeque<Micros>,
+    /// Current factor on the service time.
+    slowdown: f64,
+    /// Arrival times of the requests within the last `overload_window_us`.
+    recent: VecDeque<Micros>,
     down_until: Option<Micros>,
-    falls: u32,
+    crashes: u32,
     silent: bool,
-    erring: f64,
+    error_share: f64,
 }
 
-/// Work that begins: it ends at `at`.
+/// A fetch whose service has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begun {
-    /// Which ask.
+pub struct StartedFetch {
+    /// The fetch.
     pub fetch: FetchId,
-    /// When it ends.
-    pub at: Micros,
+    /// When its service ends.
+    pub ends_at: Micros,
 }
 
 impl Origin {
     /// An idle origin.
-    pub fn new(parts: OriginParts, random: Xoshiro256PlusPlus) -> Self {
-        let (queue, asked) = Default::default();
+    pub fn new(config: OriginConfig, random: Xoshiro256PlusPlus) -> Self {
+        let (queue, recent) = Default::default();
         Self {
-            parts,
+            config,
             random,
             busy: 0,
             queue,
-            slow: 1.0,
-            asked,
+            slowdown: 1.0,
+            recent,
             down_until: None,
-            falls: 0,
+            crashes: 0,
             silent: false,
-            erring: 0.0,
+            error_share: 0.0,
         }
     }
 
-    /// What it can do, in asks a second.
+    /// Its capacity, in requests per second.
     pub fn capacity(&self) -> f64 {
-        self.parts.places as f64 / (self.parts.mean_us / SECOND as f64)
+        self.config.slots as f64 / (self.config.mean_service_us / SECOND as f64)
     }
 
-    /// How often it fell over.
-    pub fn falls(&self) -> u32 {
-        self.falls
+    /// How often it has crashed.
+    pub fn crashes(&self) -> u32 {
+        self.crashes
     }
 
-    /// Says nothing from now on, or goes on.
-    pub fn silence(&mut self, now: Micros, silent: bool, begun: &mut Vec<Begun>) {
+    /// Stops all answers, or resumes service.
+    pub fn set_silent(&mut self, now: Micros, silent: bool, started: &mut Vec<StartedFetch>) {
         self.silent = silent;
-        self.begin(now, begun);
+        self.start_queued(now, started);
     }
 
-    /// Answers this part with errors.
-    pub fn err(&mut self, part: f64) {
-        self.erring = part;
+    /// Sets the share of requests that are answered with an error.
+    pub fn set_error_share(&mut self, share: f64) {
+        self.error_share = share;
     }
 
-    /// Makes it so many times slower.
-    pub fn slow(&mut self, times: f64) {
-        self.slow = times.max(0.01);
+    /// Sets the factor on the service time.
+    pub fn set_slowdown(&mut self, factor: f64) {
+        self.slowdown = factor.max(0.01);
     }
 
-    /// Takes an ask in. What begins now is appended to `begun`.
-    pub fn ask(&mut self, now: Micros, fetch: FetchId, begun: &mut Vec<Begun>) {
-        self.asked.push_back(now);
-        while self.asked.front().is_some_and(|at| at + self.parts.fall_us < now) {
-            self.asked.pop_front();
+    /// Queues a request. Requests whose service starts now are appended to `started`.
+    pub fn request(&mut self, now: Micros, fetch: FetchId, started: &mut Vec<StartedFetch>) {
+        self.recent.push_back(now);
+        while self.recent.front().is_some_and(|at| at + self.config.overload_window_us < now) {
+            self.recent.pop_front();
         }
-        let most = self.parts.fall_multiple * self.capacity() * self.parts.fall_us as f64 / SECOND as f64;
-        if self.down_until.is_none() && self.asked.len() as f64 > most {
-            self.down_until = Some(now + self.parts.down_us);
-            self.falls += 1;
+        let max = self.config.overload_multiple * self.capacity() * self.config.overload_window_us as f64
+            / SECOND as f64;
+        if self.down_until.is_none() && self.recent.len() as f64 > max {
+            self.down_until = Some(now + self.config.down_us);
+            self.crashes += 1;
         }
         self.queue.push_back(fetch);
-        self.begin(now, begun);
+        self.start_queued(now, started);
     }
 
-    /// One of its works has ended. Returns whether it was done: what a fall interrupts is not.
-    pub fn end(&mut self, now: Micros, begun: &mut Vec<Begun>) -> bool {
-        let spoilt = self.erring > 0.0 && self.random.random::<f64>() < self.erring;
-        let done = !spoilt && !self.silent && self.down_until.is_none_or(|until| now >= until);
+    /// Ends the service of one request. Returns whether it succeeded; requests interrupted by a crash fail.
+    pub fn complete(&mut self, now: Micros, started: &mut Vec<StartedFetch>) -> bool {
+        let failed = self.error_share > 0.0 && self.random.random::<f64>() < self.error_share;
+        let succeeded = !failed && !self.silent && self.down_until.is_none_or(|until| now >= until);
         self.busy = self.busy.saturating_sub(1);
-        self.begin(now, begun);
-        done
+        self.start_queued(now, started);
+        succeeded
     }
 
-    fn begin(&mut self, now: Micros, begun: &mut Vec<Begun>) {
+    fn start_queued(&mut self, now: Micros, started: &mut Vec<StartedFetch>) {
         if self.down_until.is_some_and(|until| now >= until) {
             self.down_until = None;
-            self.asked.clear();
+            self.recent.clear();
         }
         let from = self.down_until.unwrap_or(now);
-        while !self.silent && self.busy < self.parts.places {
+        while !self.silent && self.busy < self.config.slots {
             let Some(fetch) = self.queue.pop_front() else { return };
             self.busy += 1;
-            let takes = draw::exponential_us(&mut self.random, self.parts.mean_us * self.slow).max(1);
-            begun.push(Begun { fetch, at: from + takes });
+            let service_us =
+                draw::exponential_us(&mut self.random, self.config.mean_service_us * self.slowdown).max(1);
+            started.push(StartedFetch { fetch, ends_at: from + service_us });
         }
     }
 }
--- a/lab/src/model/server.rs
+++ b/lab/src/model/server.rs
@@ -1,6 +1,6 @@
-//! A cache server: cores shared by what is in work, slots and a waiting room, loss of efficiency when crowded, cold
-//! start and warm-up by time, memory with least-recently-used objects, fetches that may be shared, writes that go
-//! through, a table of connections (protocol and operators' pages).
+//! A cache server: cores shared by the requests in service, slots and a bounded queue, loss of efficiency under
+//! contention, cold start and warm-up over time, an LRU cache, fetches that requests may share, write-through and a
+//! limit on connections (protocol and operators' pages).
 
 use super::{Micros, SECOND};
 use lru::LruCache;
@@ -9,158 +9,159 @@
 use std::num::NonZeroUsize;
 use walkpick::LoadReport;
 
-/// A cold server bears a little more than its budget (protocol page, rule 4: "a little slack for chance").
-const SLACK: f64 = 1.1;
+/// Tolerance above the budget of a cold server (protocol page, rule 4: "a little slack for chance").
+const OVERLOAD_TOLERANCE: f64 = 1.1;
 
-/// A load report is made anew this often.
-const REPORT_EVERY: Micros = SECOND / 2;
-/// And is off by up to this part.
-const NOISE: f64 = 0.2;
+/// Interval at which the load report is refreshed.
+const REPORT_INTERVAL: Micros = SECOND / 2;
+/// Largest relative error of the values in a load report.
+const REPORT_NOISE: f64 = 0.2;
 /// Work that a probe costs, in microseconds of a standard core.
 const PROBE_WORK_US: f64 = 1_000.0;
 
-/// An attempt that a server holds, by a number that is never used twice.
+/// Identifies an attempt at a server. Never reused.
 pub type JobId = u64;
 
-/// What a server is. Times are in microseconds.
+/// Parameters of a server. Times are in microseconds.
 #[derive(Clone, Debug)]
-pub struct ServerParts {
-    /// Cores.
+pub struct ServerConfig {
+    /// Number of cores.
     pub cores: f64,
-    /// Requests in work at once.
+    /// Requests in service at once.
     pub slots: usize,
-    /// Requests that wait beyond them.
-    pub room: usize,
-    /// Work that a core does in a microsecond, in microseconds of a standard core.
+    /// Requests that may queue beyond them.
+    pub queue_capacity: usize,
+    /// Speed of a core relative to a standard core.
     pub speed: f64,
-    /// Beyond so many held for each core, each further one costs `thrash` of its efficiency.
+    /// Outstanding requests per core from which on efficiency drops.
     pub thrash_at: f64,
-    /// See `thrash_at`.
+    /// Loss of efficiency per request per core above `thrash_at`.
     pub thrash: f64,
-    /// Share of its capacity at its start, and the time until all of it is there.
+    /// Share of its full capacity at start.
     pub cold_share: f64,
-    /// See `cold_share`.
+    /// Time from start to full capacity.
     pub warm_us: Micros,
-    /// Objects that it keeps.
-    pub memory: NonZeroUsize,
-    /// Whether misses of a key share one fetch.
-    pub coalesces: bool,
-    /// After so long a fetch is given up with an error.
-    pub fetch_us: Micros,
-    /// Work that a new connection costs.
-    pub handshake_us: f64,
-    /// Connections that it holds.
-    pub connections: usize,
-    /// A cold server sent over this multiple of its capacity for `fall_us` falls over.
-    pub fall_multiple: f64,
-    /// See `fall_multiple`.
-    pub fall_us: Micros,
+    /// Objects that its cache holds.
+    pub cache_objects: NonZeroUsize,
+    /// Whether concurrent misses of a key share one fetch.
+    pub coalesces_fetches: bool,
+    /// After this long a fetch is abandoned, and its requests are answered with an error.
+    pub fetch_timeout_us: Micros,
+    /// Work that a new connection costs, in microseconds of a standard core.
+    pub handshake_work_us: f64,
+    /// Connections that it accepts at most.
+    pub max_connections: usize,
+    /// While cold, it crashes when it receives more than this multiple of its capacity over `overload_window_us`.
+    pub overload_multiple: f64,
+    /// See `overload_multiple`.
+    pub overload_window_us: Micros,
 }
 
-/// A request as a server sees it.
+/// An attempt as received by a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// Its number.
+    /// Identifies the attempt.
     pub id: JobId,
-    /// The object.
+    /// Key of the object.
     pub key: u64,
     /// Work, in microseconds of a standard core.
     pub work_us: f64,
-    /// Whether it changes the object.
+    /// Whether it modifies the object.
     pub write: bool,
-    /// Whether its connection is new.
-    pub fresh: bool,
-    /// Whether this server answers it with an error at once.
-    pub spoilt: bool,
-    /// Whether its node had been told of this start of the server's.
-    pub told: bool,
+    /// Whether it came on a new connection.
+    pub new_connection: bool,
+    /// Whether this server answers it with an error immediately.
+    pub fails: bool,
+    /// Whether its node had been notified of this start of the server.
+    pub notified: bool,
 }
 
-/// How a server answers.
+/// A server's response to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Said {
-    /// Served from memory.
+pub enum ServerResponse {
+    /// Served from the cache.
     Hit,
     /// Served by a fetch or a write.
     Miss,
-    /// An answer that breaks off; it ran.
-    Broken,
-    /// An error; it may have run.
+    /// The request was executed, but the response breaks off.
+    Truncated,
+    /// An error; the request may have been executed.
     Error,
-    /// Turned away unseen.
-    Full,
+    /// Rejected before execution.
+    QueueFull,
 }
 
-/// What a server does.
+/// An output of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Does {
-    /// Answers.
-    Says {
-        /// Which request.
+pub enum ServerAction {
+    /// Responds to an attempt.
+    Respond {
+        /// The attempt.
         job: JobId,
-        /// What.
-        said: Said,
+        /// The response.
+        response: ServerResponse,
     },
-    /// Begins to work on a request: it may have run from here on.
-    Runs(JobId),
-    /// Asks the origin for an object, or to carry out a write.
-    Asks {
-        /// The job that asks.
+    /// Starts service of an attempt: the request may have been executed from here on.
+    Start(JobId),
+    /// Requests an object, or a write, from the origin.
+    Fetch {
+        /// The attempt that needs it.
         job: JobId,
     },
-    /// Drops the copies of an object elsewhere.
-    Voids(u64),
-    /// Wants to be called at this time, with this number.
-    Wakes {
-        /// When.
+    /// Removes an object from all caches.
+    Invalidate(u64),
+    /// Sets the server's timer. It replaces the one set before.
+    SetTimer {
+        /// When it fires.
         at: Micros,
-        /// The number.
-        turn: u64,
+        /// Identifies it.
+        timer_id: u64,
     },
-    /// Has been sent more than it could bear while cold: it stays down.
-    Falls {
-        /// The part of that work that came from nodes that had been told of its start.
-        told: f64,
+    /// Crashes from overload while cold, and stays down.
+    Crash {
+        /// The share of the work, over the window, from nodes that had been notified of its start.
+        notified_share: f64,
     },
 }
 
 /// A cache server.
 #[derive(Debug)]
 pub struct Server {
-    parts: ServerParts,
-    /// When it started; `None` for long ago.
+    config: ServerConfig,
+    /// When it started; `None` for a server that is warm from the outset.
     started: Option<Micros>,
-    /// How many times slower it is at present.
-    slow: f64,
-    fallen: bool,
-    memory: LruCache<u64, ()>,
-    /// Work done for each request in work, since the start, in microseconds of a standard core; all in work get the
-    /// same, so the one whose mark is least ends first.
+    /// Current factor on the time that work takes.
+    slowdown: f64,
+    crashed: bool,
+    cache: LruCache<u64, ()>,
+    /// Work done since the start for a request that was in service all the time, in microseconds of a standard core. All
+    /// requests in service progress at the same rate, so the one with the lowest [`Mark`] ends first.
     done: f64,
     done_at: Micros,
     working: BinaryHeap<Reverse<(Mark, JobId)>>,
-    jobs: HashMap<JobId, (Job, Said)>,
+    jobs: HashMap<JobId, (Job, ServerResponse)>,
     waiting: VecDeque<Job>,
-    /// Jobs that hold a slot while the origin works, by the job that asked.
+    /// Fetches in flight, by the job that started each. Their jobs hold slots meanwhile.
     fetching: HashMap<JobId, Fetch>,
     by_key: HashMap<u64, JobId>,
-    turn: u64,
-    /// When its load was last looked at, and how it was.
+    timer_id: u64,
+    /// The last refresh of the load report: when, the share of busy cores and the length of the queue.
     reported: Option<(Micros, f64, f64)>,
-    /// Work sent of late, for the rule on cold servers.
-    sent: VecDeque<(Micros, f64, bool)>,
-    /// Connections that nodes hold to it.
+    /// Recent jobs, for the overload rule of cold servers: when each came, its work, and whether its node was notified.
+    recent: VecDeque<(Micros, f64, bool)>,
+    /// Connections that nodes have open to it.
     pub connections: usize,
 }
 
 #[derive(Debug)]
 struct Fetch {
     job: Job,
-    also: Vec<Job>,
-    until: Micros,
+    /// Further jobs that wait for the same object.
+    sharing: Vec<Job>,
+    deadline: Micros,
 }
 
-/// A finite figure that sorts.
+/// The value of [`Server::done`] at which a job ends. Finite, so that it has a total order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Mark(f64);
 impl Eq for Mark {}
@@ -176,14 +177,14 @@
 }
 
 impl Server {
-    /// One with nothing in work. `started`: `None` for one that is warm.
-    pub fn new(parts: ServerParts, started: Option<Micros>) -> Self {
+    /// An idle server with an empty cache. `started`: `None` for one that is warm.
+    pub fn new(config: ServerConfig, started: Option<Micros>) -> Self {
         Self {
-            memory: LruCache::new(parts.memory),
-            parts,
+            cache: LruCache::new(config.cache_objects),
+            config,
             started,
-            slow: 1.0,
-            fallen: false,
+            slowdown: 1.0,
+            crashed: false,
             done: 0.0,
             done_at: 0,
             working: BinaryHeap::new(),
@@ -191,102 +192,104 @@
             waiting: VecDeque::new(),
             fetching: HashMap::new(),
             by_key: HashMap::new(),
-            turn: 0,
+            timer_id: 0,
             reported: None,
-            sent: VecDeque::new(),
+            recent: VecDeque::new(),
             connections: 0,
         }
     }
 
-    /// The same machine, started anew: cold and empty.
+    /// The same server after a restart: cold, with an empty cache.
     pub fn restarted(&self, now: Micros) -> Self {
-        Self::new(self.parts.clone(), Some(now))
+        Self::new(self.config.clone(), Some(now))
     }
 
-    /// Requests that it holds.
-    pub fn held(&self) -> usize {
+    /// Number of requests in service or queued.
+    pub fn outstanding(&self) -> usize {
         self.in_slots() + self.waiting.len()
     }
 
-    /// Whether its table has room for one more connection.
-    pub fn accepts(&self) -> bool {
-        !self.fallen && self.connections < self.parts.connections
+    /// Whether it accepts another connection.
+    pub fn accepts_connections(&self) -> bool {
+        !self.crashed && self.connections < self.config.max_connections
     }
 
-    /// Whether it fell over.
-    pub fn fallen(&self) -> bool {
-        self.fallen
+    /// Whether it has crashed.
+    pub fn crashed(&self) -> bool {
+        self.crashed
     }
 
-    /// Keeps an object, as if it had been asked for before.
-    pub fn keep(&mut self, key: u64) {
-        self.memory.put(key, ());
+    /// Puts an object into the cache.
+    pub fn cache(&mut self, key: u64) {
+        self.cache.put(key, ());
     }
 
-    /// Drops its copy.
-    pub fn void(&mut self, key: u64) {
-        self.memory.pop(&key);
+    /// Removes an object from the cache.
+    pub fn invalidate(&mut self, key: u64) {
+        self.cache.pop(&key);
     }
 
-    /// Its load as its answers tell it: of up to half a second ago, and with noise.
-    pub fn report(&mut self, now: Micros, noise: f64) -> LoadReport {
-        if self.reported.is_none_or(|(at, ..)| now >= at + REPORT_EVERY) {
-            let busy = (self.working.len() as f64 / self.parts.cores).min(1.0);
+    /// Its load as its responses report it: up to half a second old, and noisy. `noise`: a draw from 0 to 1.
+    pub fn load_report(&mut self, now: Micros, noise: f64) -> LoadReport {
+        if self.reported.is_none_or(|(at, ..)| now >= at + REPORT_INTERVAL) {
+            let busy = (self.working.len() as f64 / self.config.cores).min(1.0);
             self.reported = Some((now, busy, self.waiting.len() as f64));
         }
         let (_, busy, waiting) = self.reported.unwrap_or_default();
-        let noisy = |value: f64| value * (1.0 + NOISE * (2.0 * noise - 1.0));
+        let noisy = |value: f64| value * (1.0 + REPORT_NOISE * (2.0 * noise - 1.0));
         LoadReport { service_time: None, busy: Some(noisy(busy).min(1.0)), waiting: Some(noisy(waiting)) }
     }
 
-    /// A probe comes, and costs it work. Whether it takes it: it does not when its table of connections is full.
-    pub fn probed(&mut self, now: Micros, does: &mut Vec<Does>) -> bool {
+    /// Receives a probe, which costs work. Returns whether it is accepted: not when the server is at its limit of
+    /// connections.
+    pub fn probe(&mut self, now: Micros, actions: &mut Vec<ServerAction>) -> bool {
         self.advance(now);
-        // The work is taken from all that is in hand.
+        // The cost is taken in equal parts from the progress of all jobs in service.
         self.done -= PROBE_WORK_US / self.working.len().max(1) as f64;
-        self.wake(now, does);
-        self.accepts()
+        self.set_timer(now, actions);
+        self.accepts_connections()
     }
 
-    /// Makes it so many times slower.
-    pub fn slow(&mut self, now: Micros, times: f64, does: &mut Vec<Does>) {
+    /// Sets the factor on the time that work takes.
+    pub fn set_slowdown(&mut self, now: Micros, factor: f64, actions: &mut Vec<ServerAction>) {
         self.advance(now);
-        self.slow = times.max(0.01);
-        self.wake(now, does);
+        self.slowdown = factor.max(0.01);
+        self.set_timer(now, actions);
     }
 
-    /// Share of its full capacity that it has.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    /// Share of its full capacity that is available now.
+    pub fn capacity_share(&self, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let age = now.saturating_sub(started) as f64 / self.parts.warm_us.max(1) as f64;
-        (self.parts.cold_share + (1.0 - self.parts.cold_share) * age).min(1.0)
+        let age = now.saturating_sub(started) as f64 / self.config.warm_us.max(1) as f64;
+        (self.config.cold_share + (1.0 - self.config.cold_share) * age).min(1.0)
     }
 
-    /// How long a job of a second's work would take if it came now, in seconds, with nothing to fetch: what is before it,
-    /// and its share of the cores.
-    pub fn expects(&self, now: Micros) -> f64 {
-        let crowd = (self.held() + 1) as f64 / self.parts.cores;
-        let efficiency = 1.0 / (1.0 + self.parts.thrash * (crowd - self.parts.thrash_at).max(0.0));
-        crowd.max(1.0) * self.slow / (self.parts.speed * efficiency * self.warmth(now).max(0.01))
+    /// Seconds that a job received now would take per second of its work, without a fetch, given the queue and its share
+    /// of the cores.
+    pub fn expected_stretch(&self, now: Micros) -> f64 {
+        let per_core = (self.outstanding() + 1) as f64 / self.config.cores;
+        let efficiency = 1.0 / (1.0 + self.config.thrash * (per_core - self.config.thrash_at).max(0.0));
+        per_core.max(1.0) * self.slowdown
+            / (self.config.speed * efficiency * self.capacity_share(now).max(0.01))
     }
 
-    /// Whether it holds an object.
-    pub fn holds(&self, key: u64) -> bool {
-        self.memory.contains(&key)
+    /// Whether its cache holds an object.
+    pub fn has_cached(&self, key: u64) -> bool {
+        self.cache.contains(&key)
     }
 
     fn in_slots(&self) -> usize {
-        let also: usize = self.fetching.values().map(|fetch| 1 + fetch.also.len()).sum();
-        self.working.len() + also
+        let fetching: usize = self.fetching.values().map(|fetch| 1 + fetch.sharing.len()).sum();
+        self.working.len() + fetching
     }
 
-    /// Work of a standard core that each request in work gets in a microsecond.
+    /// Work, in microseconds of a standard core, that each request in service gets per microsecond.
     fn rate(&self, now: Micros) -> f64 {
         let working = self.working.len().max(1) as f64;
-        let crowd = (self.held() as f64 / self.parts.cores - self.parts.thrash_at).max(0.0);
-        let efficiency = 1.0 / (1.0 + self.parts.thrash * crowd);
-        let shared = (self.parts.cores / working).min(1.0);
-        (self.parts.speed * shared * efficiency * self.warmth(now) / self.slow).max(1e-9)
+        let excess = (self.outstanding() as f64 / self.config.cores - self.config.thrash_at).max(0.0);
+        let efficiency = 1.0 / (1.0 + self.config.thrash * excess);
+        let shared = (self.config.cores / working).min(1.0);
+        (self.config.speed * shared * efficiency * self.capacity_share(now) / self.slowdown).max(1e-9)
     }
 
     fn advance(&mut self, now: Micros) {
@@ -294,144 +297,160 @@
         self.done_at = now;
     }
 
-    fn wake(&mut self, now: Micros, does: &mut Vec<Does>) {
-        self.turn += 1;
+    fn set_timer(&mut self, now: Micros, actions: &mut Vec<ServerAction>) {
+        self.timer_id += 1;
         let next = self.working.peek().map(|Reverse((mark, _))| {
             let left = ((mark.0 - self.done) / self.rate(now)).max(0.0);
-            // While it warms up its pace changes: it is looked at again soon.
-            let most = if self.warmth(now) < 1.0 { SECOND / 4 } else { Micros::MAX / 4 };
-            now.saturating_add((left.ceil() as Micros).max(1).min(most))
+            // During warm-up the rate changes continuously: progress is recomputed every quarter of a second.
+            let max = if self.capacity_share(now) < 1.0 { SECOND / 4 } else { Micros::MAX / 4 };
+            now.saturating_add((left.ceil() as Micros).max(1).min(max))
         });
-        let overdue = self.fetching.values().map(|fetch| fetch.until).min();
-        if let Some(at) = next.into_iter().chain(overdue).min() {
-            does.push(Does::Wakes { at: at.max(now + 1), turn: self.turn });
+        let fetch_deadline = self.fetching.values().map(|fetch| fetch.deadline).min();
+        if let Some(at) = next.into_iter().chain(fetch_deadline).min() {
+            actions.push(ServerAction::SetTimer { at: at.max(now + 1), timer_id: self.timer_id });
         }
     }
 
-    /// A request has come whole.
-    pub fn take(&mut self, now: Micros, job: Job, does: &mut Vec<Does>) {
+    /// Receives a complete request.
+    pub fn receive(&mut self, now: Micros, job: Job, actions: &mut Vec<ServerAction>) {
         self.advance(now);
-        self.bear(now, &job, does);
-        if self.fallen {
+        self.check_cold_overload(now, &job, actions);
+        if self.crashed {
             return;
         }
-        if job.spoilt {
-            does.push(Does::Runs(job.id));
-            does.push(Does::Says { job: job.id, said: Said::Error });
-        } else if self.in_slots() < self.parts.slots {
-            self.begin(now, job, does);
-        } else if self.waiting.len() < self.parts.room {
+        if job.fails {
+            actions.push(ServerAction::Start(job.id));
+            actions.push(ServerAction::Respond { job: job.id, response: ServerResponse::Error });
+        } else if self.in_slots() < self.config.slots {
+            self.start(now, job, actions);
+        } else if self.waiting.len() < self.config.queue_capacity {
             self.waiting.push_back(job);
         } else {
-            does.push(Does::Says { job: job.id, said: Said::Full });
+            actions.push(ServerAction::Respond { job: job.id, response: ServerResponse::QueueFull });
         }
-        self.wake(now, does);
+        self.set_timer(now, actions);
     }
 
-    /// The rule on cold servers, as it is counted: work sent within a window against present capacity.
-    fn bear(&mut self, now: Micros, job: &Job, does: &mut Vec<Does>) {
-        if self.fallen || self.warmth(now) >= 1.0 {
+    /// Crashes a cold server that receives more work within the window than the multiple of its current capacity allows.
+    fn check_cold_overload(&mut self, now: Micros, job: &Job, actions: &mut Vec<ServerAction>) {
+        if self.crashed || self.capacity_share(now) >= 1.0 {
             return;
         }
-        self.sent.push_back((now, job.work_us, job.told));
-        while self.sent.front().is_some_and(|(at, ..)| at + self.parts.fall_us < now) {
-            self.sent.pop_front();
+        self.recent.push_back((now, job.work_us, job.notified));
+        while self.recent.front().is_some_and(|(at, ..)| at + self.config.overload_window_us < now) {
+            self.recent.pop_front();
         }
-        let work = |of: bool| self.sent.iter().filter(|sent| sent.2 == of).map(|sent| sent.1).sum::<f64>();
-        let (told, untold) = (work(true), work(false));
-        let capacity = self.parts.cores * self.parts.speed * self.warmth(now) * self.parts.fall_us as f64;
-        if told + untold > SLACK * self.parts.fall_multiple * capacity {
-            self.fallen = true;
-            does.push(Does::Falls { told: told / (told + untold) });
+        let work = |notified: bool| {
+            self.recent.iter().filter(|recent| recent.2 == notified).map(|recent| recent.1).sum::<f64>()
+        };
+        let (notified, unaware) = (work(true), work(false));
+        let capacity = self.config.cores
+            * self.config.speed
+            * self.capacity_share(now)
+            * self.config.overload_window_us as f64;
+        if notified + unaware > OVERLOAD_TOLERANCE * self.config.overload_multiple * capacity {
+            self.crashed = true;
+            actions.push(ServerAction::Crash { notified_share: notified / (notified + unaware) });
         }
     }
 
-    fn begin(&mut self, now: Micros, job: Job, does: &mut Vec<Does>) {
-        does.push(Does::Runs(job.id));
-        let known = !job.write && self.memory.get(&job.key).is_some();
-        if known {
-            return self.work(job, Said::Hit);
+    fn start(&mut self, now: Micros, job: Job, actions: &mut Vec<ServerAction>) {
+        actions.push(ServerAction::Start(job.id));
+        let cached = !job.write && self.cache.get(&job.key).is_some();
+        if cached {
+            return self.work(job, ServerResponse::Hit);
         }
-        let until = now + self.parts.fetch_us;
-        if !job.write && self.parts.coalesces {
-            if let Some(fetch) = self.by_key.get(&job.key).and_then(|asker| self.fetching.get_mut(asker)) {
-                return fetch.also.push(job);
+        let deadline = now + self.config.fetch_timeout_us;
+        if !job.write && self.config.coalesces_fetches {
+            let fetch = self.by_key.get(&job.key).and_then(|initiator| self.fetching.get_mut(initiator));
+            if let Some(fetch) = fetch {
+                return fetch.sharing.push(job);
             }
             self.by_key.insert(job.key, job.id);
         }
-        self.fetching.insert(job.id, Fetch { job, also: Vec::new(), until });
-        does.push(Does::Asks { job: job.id });
+        self.fetching.insert(job.id, Fetch { job, sharing: Vec::new(), deadline });
+        actions.push(ServerAction::Fetch { job: job.id });
     }
 
-    fn work(&mut self, job: Job, said: Said) {
-        let handshake = if job.fresh { self.parts.handshake_us } else { 0.0 };
+    fn work(&mut self, job: Job, response: ServerResponse) {
+        let handshake = if job.new_connection { self.config.handshake_work_us } else { 0.0 };
         let mark = Mark(self.done + job.work_us + handshake);
         self.working.push(Reverse((mark, job.id)));
-        self.jobs.insert(job.id, (job, said));
+        self.jobs.insert(job.id, (job, response));
     }
 
-    fn end_fetch(&mut self, asker: JobId) -> Option<Fetch> {
-        let fetch = self.fetching.remove(&asker)?;
-        if self.by_key.get(&fetch.job.key) == Some(&asker) {
+    fn end_fetch(&mut self, initiator: JobId) -> Option<Fetch> {
+        let fetch = self.fetching.remove(&initiator)?;
+        if self.by_key.get(&fetch.job.key) == Some(&initiator) {
             self.by_key.remove(&fetch.job.key);
         }
         Some(fetch)
     }
 
-    /// The origin has answered what `asker` asked.
-    pub fn fetched(&mut self, now: Micros, asker: JobId, done: bool, does: &mut Vec<Does>) {
+    /// Receives the origin's answer to the fetch that the job `initiator` started.
+    pub fn complete_fetch(
+        &mut self,
+        now: Micros,
+        initiator: JobId,
+        succeeded: bool,
+        actions: &mut Vec<ServerAction>,
+    ) {
         self.advance(now);
-        // One that was given up: the origin went on for nobody.
-        let Some(fetch) = self.end_fetch(asker) else { return };
-        let jobs = std::iter::once(fetch.job).chain(fetch.also);
-        if done {
+        // An answer to a fetch that has timed out is ignored.
+        let Some(fetch) = self.end_fetch(initiator) else { return };
+        let jobs = std::iter::once(fetch.job).chain(fetch.sharing);
+        if succeeded {
             if fetch.job.write {
-                does.push(Does::Voids(fetch.job.key));
+                actions.push(ServerAction::Invalidate(fetch.job.key));
             } else {
-                self.memory.put(fetch.job.key, ());
+                self.cache.put(fetch.job.key, ());
             }
-            jobs.for_each(|job| self.work(job, Said::Miss));
+            jobs.for_each(|job| self.work(job, ServerResponse::Miss));
         } else {
-            does.extend(jobs.map(|job| Does::Says { job: job.id, said: Said::Error }));
+            actions.extend(
+                jobs.map(|job| ServerAction::Respond { job: job.id, response: ServerResponse::Error }),
+            );
         }
-        self.fill(now, does);
-        self.wake(now, does);
+        self.start_waiting(now, actions);
+        self.set_timer(now, actions);
     }
 
-    /// It asked to be called now.
-    pub fn wakes(&mut self, now: Micros, turn: u64, does: &mut Vec<Does>) {
-        if turn != self.turn || self.fallen {
+    /// Handles its timer. Timers that were replaced since are ignored.
+    pub fn on_timer(&mut self, now: Micros, timer_id: u64, actions: &mut Vec<ServerAction>) {
+        if timer_id != self.timer_id || self.crashed {
             return;
         }
         self.advance(now);
-        // What is left of it is less than a microsecond's work.
+        // Jobs with less than a microsecond of work left count as done.
         let near = self.done + self.rate(now);
         while let Some(&Reverse((mark, id))) = self.working.peek() {
             if mark.0 > near {
                 break;
             }
             self.working.pop();
-            if let Some((job, said)) = self.jobs.remove(&id) {
-                does.push(Does::Says { job: job.id, said });
+            if let Some((job, response)) = self.jobs.remove(&id) {
+                actions.push(ServerAction::Respond { job: job.id, response });
             }
         }
         let mut overdue: Vec<_> =
-            self.fetching.iter().filter(|(_, fetch)| fetch.until <= now).map(|(id, _)| *id).collect();
+            self.fetching.iter().filter(|(_, fetch)| fetch.deadline <= now).map(|(id, _)| *id).collect();
         overdue.sort_unstable();
-        for asker in overdue {
-            let fetch = self.end_fetch(asker);
-            let jobs = fetch.into_iter().flat_map(|fetch| std::iter::once(fetch.job).chain(fetch.also));
-            does.extend(jobs.map(|job| Does::Says { job: job.id, said: Said::Error }));
+        for initiator in overdue {
+            let fetch = self.end_fetch(initiator);
+            let jobs = fetch.into_iter().flat_map(|fetch| std::iter::once(fetch.job).chain(fetch.sharing));
+            actions.extend(
+                jobs.map(|job| ServerAction::Respond { job: job.id, response: ServerResponse::Error }),
+            );
         }
-        self.fill(now, does);
-        self.wake(now, does);
+        self.start_waiting(now, actions);
+        self.set_timer(now, actions);
     }
 
-    /// Those that wait take the slots that are free.
-    fn fill(&mut self, now: Micros, does: &mut Vec<Does>) {
-        while self.in_slots() < self.parts.slots {
+    /// Starts queued jobs while slots are free.
+    fn start_waiting(&mut self, now: Micros, actions: &mut Vec<ServerAction>) {
+        while self.in_slots() < self.config.slots {
             let Some(job) = self.waiting.pop_front() else { return };
-            self.begin(now, job, does);
+            self.start(now, job, actions);
         }
     }
 }
--- a/lab/src/real/agent.rs
+++ b/lab/src/real/agent.rs
@@ -54,10 +54,10 @@
         let seq = version(held.heard.len());
         let (whole, entries) = match after.filter(|after| (version(0)..=seq).contains(after)) {
             Some(after) => (false, changed(&held.heard[after - version(0)..])),
-            None => (true, state.discovery.list(node)),
+            None => (true, state.discovery.known_entries(node)),
         };
         let hosts: Vec<_> =
-            entries.iter().filter_map(|entry| host(held, state.fleet.place(&entry.id)?, entry)).collect();
+            entries.iter().filter_map(|entry| host(held, state.fleet.index_of(&entry.id)?, entry)).collect();
         (json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string(), entries)
     };
     lab.told(node, &entries);
@@ -82,9 +82,9 @@
 pub fn known(lab: &Lab, node: usize) -> Value {
     let state = lab.state.borrow();
     let held = &state.nodes[node];
-    let list = state.discovery.list(node);
+    let list = state.discovery.known_entries(node);
     let hosts: Vec<_> =
-        list.iter().filter_map(|entry| host(held, state.fleet.place(&entry.id)?, entry)).collect();
+        list.iter().filter_map(|entry| host(held, state.fleet.index_of(&entry.id)?, entry)).collect();
     json!({"seq": version(held.heard.len()), "whole": true, "hosts": hosts})
 }
 
--- a/lab/src/real/clients.rs
+++ b/lab/src/real/clients.rs
@@ -2,7 +2,7 @@
 
 use super::lab::Lab;
 use super::link;
-use crate::model::clients::End;
+use crate::model::clients::ClientOutcome;
 use crate::model::{micros, Micros, SECOND};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Bytes;
@@ -43,16 +43,16 @@
     for number in 0.. {
         let (end, stay) = try_once(&lab, ask, number).await;
         lab.end(ask, end);
-        let Some(again) = lab.plan.again(ask, number, end, stay, lab.now()) else { break };
+        let Some(again) = lab.plan.retry_at(ask, number, end, stay, lab.now()) else { break };
         tokio::time::sleep_until(lab.moment(again)).await;
     }
     lab.state.borrow_mut().under_way -= 1;
 }
 
-async fn try_once(lab: &Rc<Lab>, ask: usize, number: u32) -> (End, Micros) {
+async fn try_once(lab: &Rc<Lab>, ask: usize, number: u32) -> (ClientOutcome, Micros) {
     let ticket = lab.ticket(ask);
-    let Some(node) = front(lab, ask, number) else { return (End::Unreached, 0) };
-    let (since, patience) = (lab.now(), lab.plan.asks[ask].patience);
+    let Some(node) = front(lab, ask, number) else { return (ClientOutcome::Unreachable, 0) };
+    let (since, patience) = (lab.now(), lab.plan.requests[ask].try_timeout);
     let until = lab.moment(since + patience);
     let mut asking = Box::pin(send(lab.clone(), node, ticket, ask, number));
     match timeout_at(until, &mut asking).await {
@@ -66,40 +66,40 @@
                 let state = &mut *lab.state.borrow_mut();
                 if lost && !state.excused(node, since) {
                     let what = || format!("request {ticket} was not answered by n{node} in time");
-                    state.record.breaks(lab.now(), "final-answer", what);
+                    state.record.violation(lab.now(), "final-answer", what);
                 }
             });
-            (End::None, 0)
+            (ClientOutcome::Unanswered, 0)
         }
     }
 }
 
-fn judge(lab: &Lab, node: usize, ticket: usize, since: Micros, answer: Answer) -> (End, Micros) {
+fn judge(lab: &Lab, node: usize, ticket: usize, since: Micros, answer: Answer) -> (ClientOutcome, Micros) {
     match answer {
         Answer::Served { job: Some(job) } => {
             lab.uses(job);
-            (End::Served, 0)
+            (ClientOutcome::Served, 0)
         }
         Answer::Served { job: None } => {
             let what = || format!("request {ticket} was answered by n{node} with what no server made for it");
-            lab.state.borrow_mut().record.breaks(lab.now(), "final-answer", what);
-            (End::Failed, 0)
+            lab.state.borrow_mut().record.violation(lab.now(), "final-answer", what);
+            (ClientOutcome::Failed, 0)
         }
         Answer::Refused { stay } => {
             lab.state.borrow_mut().judge_refusal(&lab.plan, lab.now(), node, ticket);
-            (End::Refused, stay)
+            (ClientOutcome::Refused, stay)
         }
-        Answer::Failed => (End::Failed, 0),
+        Answer::Failed => (ClientOutcome::Failed, 0),
         Answer::Lost => {
             let state = &mut *lab.state.borrow_mut();
             if !state.excused(node, since) {
                 let what =
                     || format!("request {ticket} was lost by n{node}: its connection ended unanswered");
-                state.record.breaks(lab.now(), "final-answer", what);
+                state.record.violation(lab.now(), "final-answer", what);
             }
-            (End::Failed, 0)
+            (ClientOutcome::Failed, 0)
         }
-        Answer::Unreached => (End::Unreached, 0),
+        Answer::Unreached => (ClientOutcome::Unreachable, 0),
     }
 }
 
@@ -108,7 +108,7 @@
     let notice = micros(lab.plan.experiment.deployment.front_notice);
     let (now, state) = (lab.now(), lab.state.borrow());
     let in_use = |i: usize| state.nodes[i].died.map_or(state.nodes[i].ready, |died| now < died + notice);
-    lab.plan.front(ask, number, in_use)
+    lab.plan.pick_node(ask, number, in_use)
 }
 
 async fn send(lab: Rc<Lab>, node: usize, ticket: usize, ask: usize, number: u32) -> Answer {
@@ -163,22 +163,22 @@
 }
 
 fn request(lab: &Lab, ticket: usize, ask: usize, number: u32) -> Request<Full<Bytes>> {
-    let asked = &lab.plan.asks[ask];
-    let kind = &lab.plan.kinds[asked.kind];
+    let asked = &lab.plan.requests[ask];
+    let kind = &lab.plan.classes[asked.class];
     let body = if kind.write { Full::from(format!("value {ask}")) } else { Full::default() };
     let mut request = Request::new(body);
     *request.method_mut() = if kind.write { Method::PUT } else { Method::GET };
     let mut headers = vec![
         ("host", "service.internal".to_owned()),
         ("req-id", format!("r{ticket}")),
-        ("req-kind", kind.class.name.to_string()),
-        ("req-deadline-ms", (asked.patience / 1_000).to_string()),
+        ("req-kind", kind.config.name.to_string()),
+        ("req-deadline-ms", (asked.try_timeout / 1_000).to_string()),
         ("req-cost", (asked.hint_us as u64).to_string()),
     ];
     if number > 0 {
         headers.push(("req-retry", "1".to_owned()));
     }
-    if matches!(kind.class.effect, walkpick::Effect::Keyed { .. }) {
+    if matches!(kind.config.effect, walkpick::Effect::Keyed { .. }) {
         headers.push(("idempotency-key", format!("k{ask}")));
     }
     for (name, value) in headers {
--- a/lab/src/real/faults.rs
+++ b/lab/src/real/faults.rs
@@ -2,10 +2,10 @@
 
 use super::lab::Lab;
 use super::{clients, nodes};
-use crate::experiment::{Party, What};
-use crate::judge::Doing;
+use crate::experiment::{FaultKind, RemoteKind};
+use crate::judge::NodeState;
 use crate::model::{micros, Micros, SECOND};
-use crate::plan::COMING;
+use crate::plan::FRONT_DRAIN_DELAY;
 use nix::sys::signal::Signal;
 use std::future::Future;
 use std::rc::Rc;
@@ -24,17 +24,17 @@
 pub fn meet(lab: &Rc<Lab>, trouble: usize, begins: bool, step: usize) {
     let plan = lab.plan.clone();
     let fault = &plan.experiment.fault[trouble];
-    let met = plan.met(trouble, plan.experiment.deployment.nodes as usize, fault.part);
+    let met = plan.affected(trouble, plan.experiment.deployment.nodes as usize, fault.part);
     match fault.what {
-        What::NodeKilled => met.into_iter().for_each(|node| match begins {
+        FaultKind::NodeKilled => met.into_iter().for_each(|node| match begins {
             true => under_way(lab, kill(lab.clone(), node)),
             false => under_way(lab, start(lab.clone(), node)),
         }),
-        What::NodeTerminated => met.into_iter().for_each(|node| match begins {
+        FaultKind::NodeTerminated => met.into_iter().for_each(|node| match begins {
             true => under_way(lab, terminate(lab.clone(), node)),
             false => under_way(lab, start(lab.clone(), node)),
         }),
-        What::NodesRolled if begins => {
+        FaultKind::NodesRolled if begins => {
             if let Some(&node) = met.get(step) {
                 let held = lab.clone();
                 under_way(lab, async move {
@@ -43,19 +43,19 @@
                 });
             }
         }
-        What::NodePaused => met.into_iter().for_each(|node| {
+        FaultKind::NodePaused => met.into_iter().for_each(|node| {
             trouble_node(lab, node, begins);
-            let doing = if begins { Doing::Paused } else { Doing::Serving };
-            lab.state.borrow_mut().record.does(node, doing, lab.now());
+            let doing = if begins { NodeState::Paused } else { NodeState::Serving };
+            lab.state.borrow_mut().record.node_state_changed(node, doing, lab.now());
             signal(lab, node, if begins { Signal::SIGSTOP } else { Signal::SIGCONT });
         }),
-        What::NodeSlow if begins => {
+        FaultKind::NodeSlow if begins => {
             let until = plan.lead() + micros(fault.to);
             for node in met {
                 under_way(lab, slow(lab.clone(), node, fault.size, until));
             }
         }
-        What::NodeReloaded if begins => {
+        FaultKind::NodeReloaded if begins => {
             for node in met {
                 if let Err(error) = nodes::move_agent(lab, node) {
                     lab.state.borrow_mut().void.get_or_insert(format!("n{node} cannot be reloaded: {error}"));
@@ -66,17 +66,17 @@
                 }
             }
         }
-        What::NodeClock => {
+        FaultKind::NodeClock => {
             for node in met {
                 lab.state.borrow_mut().nodes[node].clock_s = if begins { fault.size } else { 0.0 };
             }
         }
-        What::Link => {
+        FaultKind::Link => {
             let on = begins && step.is_multiple_of(2);
             let state = &mut *lab.state.borrow_mut();
-            let Some(met) = state.links.switch(&plan, trouble, on) else { return };
+            let Some(met) = state.links.set_fault(&plan, trouble, on) else { return };
             state.refresh_links();
-            if met.party == Party::Client {
+            if met.remote == RemoteKind::Client {
                 let until = if begins { Micros::MAX } else { lab.now() + AFTERMATH };
                 met.nodes.iter().for_each(|&node| state.nodes[node].troubled = until);
             }
@@ -84,8 +84,8 @@
                 state.reset_links(&met);
             }
         }
-        What::DiscoveryLate | What::DiscoveryLoses => {
-            lab.state.borrow_mut().discovery.fault(&plan, fault, begins);
+        FaultKind::DiscoveryLate | FaultKind::DiscoveryLoses => {
+            lab.state.borrow_mut().discovery.apply_fault(&plan, fault, begins);
         }
         // The end of a fault that ends by itself, and those of the model.
         _ => {}
@@ -118,7 +118,7 @@
     trouble_node(&lab, node, true);
     let process = {
         let state = &mut *lab.state.borrow_mut();
-        state.record.does(node, Doing::Down, lab.now());
+        state.record.node_state_changed(node, NodeState::Down, lab.now());
         let node = &mut state.nodes[node];
         node.died = Some(lab.now());
         node.idle.clear();
@@ -133,10 +133,10 @@
 /// Tells a node to go, as at a planned restart, and kills it when it has not.
 async fn terminate(lab: Rc<Lab>, node: usize) {
     signal(&lab, node, Signal::SIGTERM);
-    lab.state.borrow_mut().record.does(node, Doing::Leaving, lab.now());
+    lab.state.borrow_mut().record.node_state_changed(node, NodeState::Leaving, lab.now());
     let told = tokio::time::Instant::now();
-    let kill_at = told + Duration::from_micros(lab.plan.kill_after());
-    sleep(Duration::from_micros(COMING)).await;
+    let kill_at = told + Duration::from_micros(lab.plan.kill_delay());
+    sleep(Duration::from_micros(FRONT_DRAIN_DELAY)).await;
     let process = {
         let state = &mut *lab.state.borrow_mut();
         let node = &mut state.nodes[node];
@@ -147,7 +147,7 @@
     let Some(mut process) = process else { return };
     let limit = kill_at.saturating_duration_since(tokio::time::Instant::now());
     let ended = process.finish(limit).await;
-    lab.state.borrow_mut().record.does(node, Doing::Down, lab.now());
+    lab.state.borrow_mut().record.node_state_changed(node, NodeState::Down, lab.now());
     match ended {
         Some(status) if status.success() => {}
         ended => {
@@ -155,7 +155,7 @@
                 ended.map_or_else(|| "had to be killed".to_owned(), |status| format!("ended with {status}"));
             let state = &mut *lab.state.borrow_mut();
             let what = || format!("n{node}, told to go, {how}: {}", process.last_words());
-            state.record.breaks(lab.now(), "crash", what);
+            state.record.violation(lab.now(), "crash", what);
         }
     }
 }
@@ -168,7 +168,7 @@
                 state.nodes[node].ready = true;
                 state.nodes[node].died = None;
                 state.nodes[node].troubled = lab.now();
-                state.record.does(node, Doing::Serving, lab.now());
+                state.record.node_state_changed(node, NodeState::Serving, lab.now());
             }
         }
         Err(error) => {
@@ -180,7 +180,7 @@
 /// Gives a process a share of its time alone, by turns.
 async fn slow(lab: Rc<Lab>, node: usize, share: f64, until: Micros) {
     trouble_node(&lab, node, true);
-    lab.state.borrow_mut().record.does(node, Doing::Slow, lab.now());
+    lab.state.borrow_mut().record.node_state_changed(node, NodeState::Slow, lab.now());
     let runs = TURN.mul_f64(share.clamp(0.01, 1.0));
     let mut next = tokio::time::Instant::now();
     while lab.now() < until {
@@ -191,5 +191,5 @@
         sleep_until(next).await;
     }
     trouble_node(&lab, node, false);
-    lab.state.borrow_mut().record.does(node, Doing::Serving, lab.now());
+    lab.state.borrow_mut().record.node_state_changed(node, NodeState::Serving, lab.now());
 }
