--- a/lab/src/real/lab.rs
+++ b/lab/src/real/lab.rs
@@ -3,13 +3,13 @@
 use super::link::{Conditions, Door, Far, Link, Reserved, ReservedDatagrams};
 use super::process::{Process, Used};
 use super::{servers, Options};
-use crate::experiment::Party;
-use crate::judge::{Deed, Off, Record};
-use crate::model::clients::End;
+use crate::experiment::RemoteKind;
+use crate::judge::{DrainNotice, NodeAction, Record};
+use crate::model::clients::ClientOutcome;
 use crate::model::discovery::Discovery;
-use crate::model::fleet::{Come, Due, Fleet, Out};
-use crate::model::links::{Links, Met};
-use crate::model::server::Said;
+use crate::model::fleet::{Arrival, Fleet, FleetOutput, ScheduledEvent};
+use crate::model::links::{ActiveLinkFault, Links};
+use crate::model::server::ServerResponse;
 use crate::model::{Micros, SECOND};
 use crate::plan::Plan;
 use hdrhistogram::Histogram;
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tick {
     /// The model's.
-    Due(Due),
+    Due(ScheduledEvent),
     /// A node's agent hears of a change.
     Hear {
         /// The node.
@@ -141,7 +141,7 @@
     /// Tries of clients.
     pub tickets: Vec<Ticket>,
     attempts: Vec<Attempt>,
-    waiting: HashMap<u64, (usize, oneshot::Sender<Said>)>,
+    waiting: HashMap<u64, (usize, oneshot::Sender<ServerResponse>)>,
     /// Faults on links that are on.
     pub links: Links,
     late: Histogram<u64>,
@@ -174,7 +174,7 @@
         let state = State {
             discovery: Discovery::new(plan.experiment.deployment.nodes as usize, &fleet.entries()),
             fleet,
-            record: Record::new(plan.asks.len()),
+            record: Record::new(plan.requests.len()),
             nodes: Vec::new(),
             tickets: Vec::new(),
             attempts: Vec::new(),
@@ -216,11 +216,11 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.start.set(Some(Instant::now()));
         self.epoch.set(unix.as_micros() as Micros);
-        self.state.borrow_mut().fleet.begin(unix.as_micros() as Micros);
-        for (ask, asked) in self.plan.asks.iter().enumerate() {
+        self.state.borrow_mut().fleet.set_epoch(unix.as_micros() as Micros);
+        for (ask, asked) in self.plan.requests.iter().enumerate() {
             self.at(asked.at, Tick::Arrive { ask });
         }
-        let due = self.state.borrow().fleet.schedule(faults);
+        let due = self.state.borrow().fleet.initial_events(faults);
         due.into_iter().for_each(|(at, due)| self.at(at, Tick::Due(due)));
     }
 
@@ -262,36 +262,38 @@
     }
 
     /// The model's part of a tick.
-    pub fn due(self: &Rc<Self>, due: Due) {
+    pub fn due(self: &Rc<Self>, due: ScheduledEvent) {
         let mut out = Vec::new();
-        self.state.borrow_mut().fleet.due(self.now(), due, &mut out);
+        self.state.borrow_mut().fleet.handle(self.now(), due, &mut out);
         self.carry(out);
     }
 
     /// What comes of the servers' and the origin's doings.
-    pub fn carry(self: &Rc<Self>, out: Vec<Out>) {
+    pub fn carry(self: &Rc<Self>, out: Vec<FleetOutput>) {
         for out in out {
             match out {
-                Out::Later(at, due) => self.at(at, Tick::Due(due)),
-                Out::Says { job, said, .. } => self.says(job, said),
-                Out::Runs(job) => self.state.borrow_mut().runs(&self.plan, self.now(), job),
-                Out::Falls { server, told } => {
+                FleetOutput::Schedule(at, due) => self.at(at, Tick::Due(due)),
+                FleetOutput::Respond { job, response, .. } => self.says(job, response),
+                FleetOutput::Started(job) => self.state.borrow_mut().runs(&self.plan, self.now(), job),
+                FleetOutput::ColdCrash { server, notified_share } => {
                     let state = &mut *self.state.borrow_mut();
-                    state.record.cold_fall(self.now(), &state.fleet.machines[server].id, told);
+                    state.record.cold_crash(self.now(), &state.fleet.machines[server].id, notified_share);
                     state.refresh_links();
                 }
-                Out::Tells(entries) => self.tells(entries),
-                Out::Reach => self.state.borrow_mut().refresh_links(),
-                Out::Back(servers) => self.back(&servers),
-                Out::Other { trouble, begins, step } => super::faults::meet(self, trouble, begins, step),
+                FleetOutput::Publish(entries) => self.tells(entries),
+                FleetOutput::ReachabilityChanged => self.state.borrow_mut().refresh_links(),
+                FleetOutput::Restarted(servers) => self.back(&servers),
+                FleetOutput::ExternalFault { fault, begins, step } => {
+                    super::faults::meet(self, fault, begins, step)
+                }
             }
         }
     }
 
-    fn says(&self, job: u64, said: Said) {
+    fn says(&self, job: u64, said: ServerResponse) {
         let state = &mut *self.state.borrow_mut();
         let attempt = &state.attempts[job as usize];
-        if said == Said::Full {
+        if said == ServerResponse::QueueFull {
             state.tickets[attempt.ticket].attempts[attempt.place].1 = true;
         }
         if let Some((_, answer)) = state.waiting.remove(&job) {
@@ -318,7 +320,7 @@
             self.state.borrow_mut().void.get_or_insert(format!("no door for a new server: {error}"));
         }
         let state = &mut *self.state.borrow_mut();
-        let (change, heard) = state.discovery.tell(&self.plan, self.now(), entries);
+        let (change, heard) = state.discovery.publish(&self.plan, self.now(), entries);
         for (node, at) in heard.into_iter().enumerate() {
             self.at(at, Tick::Hear { node, change });
         }
@@ -350,7 +352,7 @@
     /// A node's agent hears of a change.
     pub fn hear(&self, node: usize, change: usize) {
         let state = &mut *self.state.borrow_mut();
-        let entries = state.discovery.hear(node, change);
+        let entries = state.discovery.deliver(node, change);
         let node = &mut state.nodes[node];
         node.heard.push(entries);
         node.news.send_replace(node.heard.len());
@@ -361,7 +363,7 @@
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
         for entry in entries {
-            let Some(server) = state.fleet.place(&entry.id) else { continue };
+            let Some(server) = state.fleet.index_of(&entry.id) else { continue };
             let told = &mut state.nodes[node].told;
             let since = match told.get(&server) {
                 // Told before: the time runs on.
@@ -391,7 +393,7 @@
         server: usize,
         ticket: usize,
         fresh: bool,
-    ) -> (u64, oneshot::Receiver<Said>) {
+    ) -> (u64, oneshot::Receiver<ServerResponse>) {
         let now = self.now();
         let (answer, receiver) = oneshot::channel();
         let mut out = Vec::new();
@@ -408,7 +410,12 @@
             let told = state.nodes[node].told.get(&server).map(|told| told.1);
             let told = told == Some(state.fleet.machines[server].entry.started);
             let name = (ticket as u64) << 8 | place as u64;
-            state.fleet.take(now, server, Come { job, ask, name, fresh, told }, &mut out);
+            state.fleet.receive(
+                now,
+                server,
+                Arrival { job, request: ask, draw_id: name, new_connection: fresh, notified: told },
+                &mut out,
+            );
             job
         };
         self.carry(out);
@@ -423,20 +430,20 @@
     }
 
     /// A try has ended for its client.
-    pub fn end(&self, ask: usize, end: End) {
+    pub fn end(&self, ask: usize, end: ClientOutcome) {
         let now = self.now();
-        self.state.borrow_mut().record.end(ask, end, now);
+        self.state.borrow_mut().record.request_ended(ask, end, now);
     }
 
     /// Work that ran, and what of it nobody used.
     pub fn count_work(&self) {
         let state = &mut *self.state.borrow_mut();
         for attempt in state.attempts.iter().filter(|attempt| attempt.ran) {
-            let work_us = self.plan.asks[state.tickets[attempt.ticket].ask].work_us;
+            let work_us = self.plan.requests[state.tickets[attempt.ticket].ask].work_us;
             state.record.work_us.0 += work_us;
             state.record.work_us.1 += if attempt.used { 0.0 } else { work_us };
         }
-        state.record.origin_falls = state.fleet.origin.falls().into();
+        state.record.origin_crashes = state.fleet.origin.crashes().into();
     }
 }
 
@@ -452,7 +459,7 @@
         let number = attempt.ticket;
         let ticket = &mut self.tickets[number];
         ticket.runs += 1;
-        self.record.runs(now, number, plan.class(ticket.ask), ticket.runs);
+        self.record.execution_started(now, number, plan.class(ticket.ask), ticket.runs);
     }
 
     /// When the first attempt of a request came that may have run.
@@ -463,29 +470,31 @@
 
     fn judge(&mut self, plan: &Plan, now: Micros, node: usize, server: usize, ticket: usize) {
         let told = self.nodes[node].told.get(&server).filter(|told| told.0 != Availability::Ready);
-        let off = told.map(|told| Off { told: told.2, grace: DRAIN_GRACE });
+        let off = told.map(|told| DrainNotice { notified_at: told.2, grace: DRAIN_GRACE });
         let first = self.first_run(ticket);
-        let deed = Deed { now, node, ticket, class: plan.class(self.tickets[ticket].ask) };
-        self.record.sends(deed, &self.fleet.machines[server].id, off, first);
+        let deed = NodeAction { now, node, try_id: ticket, class: plan.class(self.tickets[ticket].ask) };
+        self.record.attempt_sent(deed, &self.fleet.machines[server].id, off, first);
     }
 
     /// A client was refused: whether that was allowed.
     pub fn judge_refusal(&mut self, plan: &Plan, now: Micros, node: usize, ticket: usize) {
         let may_have_run = self.first_run(ticket).is_some();
-        let deed = Deed { now, node, ticket, class: plan.class(self.tickets[ticket].ask) };
-        self.record.refuses(deed, may_have_run);
+        let deed = NodeAction { now, node, try_id: ticket, class: plan.class(self.tickets[ticket].ask) };
+        self.record.request_refused(deed, may_have_run);
     }
 
     /// Resets what is open on the links that a fault meets.
-    pub fn reset_links(&self, met: &Met) {
+    pub fn reset_links(&self, met: &ActiveLinkFault) {
         for &node in &met.nodes {
             let node = &self.nodes[node];
-            let links: Vec<_> = match met.party {
-                Party::Client => vec![&node.clients],
-                Party::Discovery => vec![&node.discovery],
+            let links: Vec<_> = match met.remote {
+                RemoteKind::Client => vec![&node.clients],
+                RemoteKind::Discovery => vec![&node.discovery],
                 // Datagrams have no connections.
-                Party::Peer => vec![],
-                Party::Server => met.servers.iter().filter_map(|&i| Some(&node.servers.get(i)?.0)).collect(),
+                RemoteKind::Peer => vec![],
+                RemoteKind::Server => {
+                    met.servers.iter().filter_map(|&i| Some(&node.servers.get(i)?.0)).collect()
+                }
             };
             links.into_iter().for_each(|link| link.set(|now| now.resets += 1));
         }
@@ -496,14 +505,16 @@
         for (i, node) in self.nodes.iter().enumerate() {
             for (server, (link, _)) in node.servers.iter().enumerate() {
                 let machine = &self.fleet.machines[server];
-                let mut ways = self.links.ways(i, Party::Server, server);
-                ways.there.silent |= machine.mute();
-                ways.back.silent |= machine.mute();
+                let mut ways = self.links.impairment(i, RemoteKind::Server, server);
+                ways.forward.silent |= machine.unresponsive();
+                ways.backward.silent |= machine.unresponsive();
                 let down = machine.availability == Availability::Gone;
                 apply(link, Conditions { ways, down, ..Conditions::default() });
             }
-            for (party, link) in [(Party::Client, &node.clients), (Party::Discovery, &node.discovery)] {
-                apply(link, Conditions { ways: self.links.ways(i, party, 0), ..Conditions::default() });
+            for (party, link) in
+                [(RemoteKind::Client, &node.clients), (RemoteKind::Discovery, &node.discovery)]
+            {
+                apply(link, Conditions { ways: self.links.impairment(i, party, 0), ..Conditions::default() });
             }
         }
     }
--- a/lab/src/real/link.rs
+++ b/lab/src/real/link.rs
@@ -2,9 +2,9 @@
 //!
 //! A link carries bytes of TCP connections ([`Door`], [`dial`]) or datagrams of UDP ([`mesh`]). What a relay holds
 //! is bounded, and belongs to one connection: a process started anew under the same address never sees it. What a real
-//! network does to segments a stream shows as time: a lost segment comes again after [`AGAIN`].
+//! network does to segments a stream shows as time: a lost segment comes again after [`MIN_RETRANSMIT_TIMEOUT`].
 
-use crate::model::links::{Way, Ways, AGAIN};
+use crate::model::links::{Impairment, LinkImpairment, MIN_RETRANSMIT_TIMEOUT};
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use socket2::{Domain, SockRef, Socket, Type};
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Conditions {
     /// Its two directions.
-    pub ways: Ways,
+    pub ways: LinkImpairment,
     /// Nobody listens: connections are refused.
     pub down: bool,
     /// Each time this grows, all open connections are reset.
@@ -261,7 +261,7 @@
         return Err(io::ErrorKind::ConnectionRefused.into());
     }
     // A connection is up after a way there and a way back.
-    sleep(now.ways.there.delay + now.ways.back.delay).await;
+    sleep(now.ways.forward.delay + now.ways.backward.delay).await;
     let stream = TcpStream::connect(target).await?;
     let (near, far) = tokio::io::duplex(PIECE);
     let link = link.clone();
@@ -316,8 +316,8 @@
     let resets = conditions.borrow_and_update().resets;
     let reset = conditions.wait_for(|now| now.down || now.resets != resets);
     let ((near_in, near_out), (far_in, far_out)) = (split(near), split(far));
-    let there = carry(near_in, far_out, link.watch(), |now| now.ways.there, link.seed);
-    let back = carry(far_in, near_out, link.watch(), |now| now.ways.back, !link.seed);
+    let there = carry(near_in, far_out, link.watch(), |now| now.ways.forward, link.seed);
+    let back = carry(far_in, near_out, link.watch(), |now| now.ways.backward, !link.seed);
     tokio::select! {
         ended = async { tokio::try_join!(there, back) } => ended.map(|_| ()),
         _ = reset => Err(io::ErrorKind::ConnectionReset.into()),
@@ -329,7 +329,7 @@
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     mut conditions: watch::Receiver<Conditions>,
-    way: fn(&Conditions) -> Way,
+    way: fn(&Conditions) -> Impairment,
     seed: u64,
 ) -> io::Result<()> {
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
@@ -356,7 +356,7 @@
             read = from.read(&mut buffer), if open && queue.len() < PIECES && !now.silent => {
                 let read = read?;
                 open = read > 0;
-                let at = Instant::now() + now.takes(&mut random);
+                let at = Instant::now() + now.stream_delay(&mut random);
                 let piece = buffer[..read].to_vec();
                 // Nothing on it overtakes.
                 last = last.max(at);
@@ -367,7 +367,7 @@
 }
 
 /// What the way from one party to another does at present.
-pub type WayOf = Rc<dyn Fn(usize, usize) -> Way>;
+pub type WayOf = Rc<dyn Fn(usize, usize) -> Impairment>;
 
 /// Links for datagrams among any number of processes. Returns where each of them is reached by all others: what comes
 /// there from another one's own address goes on to its own, and seems to come from where that other one is reached.
@@ -420,7 +420,7 @@
                 let copies = 1 + usize::from(random.random::<f64>() < now.duplicate);
                 for _ in 0..copies {
                     let overtaken = random.random::<f64>() < now.reorder;
-                    let late = if overtaken { AGAIN / 4 } else { Duration::ZERO };
+                    let late = if overtaken { MIN_RETRANSMIT_TIMEOUT / 4 } else { Duration::ZERO };
                     let at = Instant::now() + now.delay + now.jitter.mul_f64(random.random()) + late;
                     if queue.len() < DATAGRAMS {
                         queue.push((at, from, buffer[..length].to_vec()));
--- a/lab/src/real/link/tests.rs
+++ b/lab/src/real/link/tests.rs
@@ -50,7 +50,7 @@
             let (door, count) = echo(&link);
             let mut old = TcpStream::connect(door.address()).await.unwrap();
             assert_eq!(said(&mut old, b"1").await.unwrap(), b"1");
-            link.set(|now| now.ways.there.silent = true);
+            link.set(|now| now.ways.forward.silent = true);
             // The door needs a turn to see it; from then on nothing comes up.
             tokio::task::yield_now().await;
             let short = Duration::from_millis(300);
@@ -62,7 +62,7 @@
             old.write_all(b"2").await.unwrap();
             assert!(timeout(short, old.read(&mut [0; 1])).await.is_err(), "silence");
             link.set(|now| {
-                now.ways.there.silent = false;
+                now.ways.forward.silent = false;
                 now.resets += 1;
             });
             assert!(timeout(PATIENCE, old.read(&mut [0; 1])).await.unwrap().is_err(), "reset, not ended");
@@ -103,10 +103,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_direction_holds_a_bounded_number_of_pieces() {
     let link = Link::new(1);
-    link.set(|now| now.ways.there.delay = Duration::from_secs(3_600));
+    link.set(|now| now.ways.forward.delay = Duration::from_secs(3_600));
     let (mut writer, near) = tokio::io::duplex(1);
     let (far, _reader) = tokio::io::duplex(1);
-    let way = |now: &Conditions| now.ways.there;
+    let way = |now: &Conditions| now.ways.forward;
     let carrying = carry(near, far, link.watch(), way, 1);
     let taken = RefCell::new(0);
     let writing = async {
@@ -125,17 +125,17 @@
 #[tokio::test(start_paused = true)]
 async fn delay_and_loss_take_time_and_keep_the_order() {
     let link = Link::new(1);
-    let lossy = Way {
+    let lossy = Impairment {
         delay: Duration::from_millis(30),
         jitter: Duration::from_millis(50),
         loss: 0.3,
-        ..Way::default()
+        ..Impairment::default()
     };
-    link.set(|now| now.ways.there = lossy);
+    link.set(|now| now.ways.forward = lossy);
     let (mut writer, near) = tokio::io::duplex(1);
     let (far, mut reader) = tokio::io::duplex(64);
     let start = Instant::now();
-    let carrying = carry(near, far, link.watch(), |now| now.ways.there, 1);
+    let carrying = carry(near, far, link.watch(), |now| now.ways.forward, 1);
     let text: Vec<u8> = (0..40).collect();
     let writing = async {
         writer.write_all(&text).await.unwrap();
@@ -178,9 +178,10 @@
             let bind = || UdpSocket::bind("127.0.0.1:0");
             let (one, two) = (bind().await.unwrap(), bind().await.unwrap());
             let parties = vec![one.local_addr().unwrap(), two.local_addr().unwrap()];
-            let there = Rc::new(Cell::new(Way::default()));
+            let there = Rc::new(Cell::new(Impairment::default()));
             let held = there.clone();
-            let ways: WayOf = Rc::new(move |from, _| if from == 0 { held.get() } else { Way::default() });
+            let ways: WayOf =
+                Rc::new(move |from, _| if from == 0 { held.get() } else { Impairment::default() });
             let reached = mesh(parties, ways, 1).await.unwrap();
             let mut buffer = [0; 8];
             one.send_to(b"ping", reached[1]).await.unwrap();
@@ -189,12 +190,12 @@
             two.send_to(b"pong", from).await.unwrap();
             let (length, from) = timeout(PATIENCE, one.recv_from(&mut buffer)).await.unwrap().unwrap();
             assert_eq!((&buffer[..length], from), (&b"pong"[..], reached[1]));
-            there.set(Way { silent: true, ..Way::default() });
+            there.set(Impairment { silent: true, ..Impairment::default() });
             one.send_to(b"lost", reached[1]).await.unwrap();
             // The way back still carries: by the time that this has come, the other is lost.
             two.send_to(b"back", reached[0]).await.unwrap();
             timeout(PATIENCE, one.recv_from(&mut buffer)).await.unwrap().unwrap();
-            there.set(Way { duplicate: 1.0, ..Way::default() });
+            there.set(Impairment { duplicate: 1.0, ..Impairment::default() });
             one.send_to(b"next", reached[1]).await.unwrap();
             for _ in 0..2 {
                 let (length, _) = timeout(PATIENCE, two.recv_from(&mut buffer)).await.unwrap().unwrap();
--- a/lab/src/real/meetings.rs
+++ b/lab/src/real/meetings.rs
@@ -1,6 +1,6 @@
 //! What nodes that meet their peers said of each other, read from their logs.
 
-use crate::judge::{Doing, Span};
+use crate::judge::{NodeState, Span};
 use crate::model::Micros;
 use crate::plan::Plan;
 use serde::Deserialize;
@@ -34,12 +34,14 @@
     let origin = (epoch + plan.lead()) as f64 / 1e6;
     let words: Vec<_> = logs.iter().enumerate().flat_map(|(by, log)| read(by, log, origin)).collect();
     let mut figures = BTreeMap::new();
-    let down = |span: &&Span| span.doing == Doing::Down;
+    let down = |span: &&Span| span.state == NodeState::Down;
     let told = |span: &Span| {
-        spans.iter().any(|s| s.node == span.node && s.doing == Doing::Leaving && s.to_s <= span.from_s + 0.01)
+        spans
+            .iter()
+            .any(|s| s.node == span.node && s.state == NodeState::Leaving && s.to_s <= span.from_s + 0.01)
     };
     let killed: Vec<_> = spans.iter().filter(down).filter(|span| !told(span)).collect();
-    let leaving: Vec<_> = spans.iter().filter(|span| span.doing == Doing::Leaving).collect();
+    let leaving: Vec<_> = spans.iter().filter(|span| span.state == NodeState::Leaving).collect();
     for (name, what, gone) in
         [("peers_known_s", "a peer is lost", &killed), ("peers_left_s", "a peer has left", &leaving)]
     {
--- a/lab/src/real/mod.rs
+++ b/lab/src/real/mod.rs
@@ -11,7 +11,7 @@
 mod servers;
 
 use crate::experiment::{Arm, Driver, Experiment, Policy};
-use crate::judge::Result as Run;
+use crate::judge::RunResult as Run;
 use crate::model::Micros;
 use crate::plan::Plan;
 use crate::policies;
@@ -140,7 +140,7 @@
     let plan = Rc::new(Plan::new(experiment, seed));
     LocalSet::new().block_on(&runtime, async {
         let lab = Lab::new(plan.clone(), options.clone()).map_err(machine("the lab's state"))?;
-        policies::fill(&plan, arm.policy, &mut lab.state.borrow_mut().fleet);
+        policies::warm_caches(&plan, arm.policy, &mut lab.state.borrow_mut().fleet);
         nodes::place(&lab).map_err(machine("links for the nodes"))?;
         if arm.peers {
             nodes::meet(&lab).await.map_err(machine("links between the nodes"))?;
@@ -187,7 +187,7 @@
     }
     lab.begin(faults);
     let end = lab.moment(lab.plan.end());
-    let last = lab.plan.asks.last().map_or(0, |ask| ask.at);
+    let last = lab.plan.requests.last().map_or(0, |ask| ask.at);
     let mut look = interval(LOOK);
     loop {
         tokio::select! {
@@ -241,7 +241,7 @@
         // One that was told to go may be gone before the front has left it.
         if node.ready && !status.success() {
             let what = || format!("n{i} ended by itself, {status}: {}", process.last_words());
-            state.record.breaks(now, "crash", what);
+            state.record.violation(now, "crash", what);
         }
         (node.ready, node.troubled) = (false, Micros::MAX);
         node.died.get_or_insert(now);
@@ -275,7 +275,7 @@
     let (late_p99, late_max) = lab.lateness();
     let state = &mut *lab.state.borrow_mut();
     for what in ended {
-        state.record.breaks(lab.now(), "crash", || what);
+        state.record.violation(lab.now(), "crash", || what);
     }
     let nodes = state.nodes.len().max(1) as f64;
     let cpu_s: f64 = state.nodes.iter().map(|node| node.used.cpu_s).sum();
@@ -285,7 +285,7 @@
     let void = state.void.clone().or_else(|| {
         late.then(|| format!("the lab was late: {late_p99:.1} ms at the 99th percentile, {late_max:.1} ms at the most, over its bound of {bound} ms and ten times that"))
     });
-    let requests = lab.plan.asks.len().max(1) as f64;
+    let requests = lab.plan.requests.len().max(1) as f64;
     let further = [
         ("cpu_ms", cpu_s * 1_000.0 / requests),
         ("cpu_share", cpu_s / nodes / (lab.now().max(1) as f64 / 1e6)),
@@ -297,7 +297,7 @@
     let logs: Vec<_> = state.nodes.iter().map(|node| node.log.clone()).collect();
     if state.nodes.iter().any(|node| node.meets.is_some()) {
         run.figures.extend(meetings::figures(&lab.plan, lab.epoch(), &run.spans, &logs));
-        run.checks = crate::judge::check(&lab.plan.experiment, name, Driver::Real, &run.figures);
+        run.checks = crate::judge::evaluate_checks(&lab.plan.experiment, name, Driver::Real, &run.figures);
     }
     (run.driver, run.void, run.interrupted) = ("real", void, interrupted);
     run
--- a/lab/src/real/nodes.rs
+++ b/lab/src/real/nodes.rs
@@ -6,7 +6,7 @@
 use super::process::{Process, ProcessError, Used};
 use super::Reached;
 use crate::draw::{self, Stream};
-use crate::model::links::Way;
+use crate::model::links::Impairment;
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io;
@@ -60,7 +60,7 @@
     let held = Rc::downgrade(lab);
     let ways: WayOf = Rc::new(move |one, two| {
         let lab = held.upgrade();
-        lab.map_or_else(Way::default, |lab| lab.state.borrow().links.between_peers(one, two))
+        lab.map_or_else(Impairment::default, |lab| lab.state.borrow().links.between_peers(one, two))
     });
     let reached = mesh(own.iter().map(ReservedDatagrams::address).collect(), ways, lab.plan.seed).await?;
     let state = &mut *lab.state.borrow_mut();
@@ -96,7 +96,7 @@
 
 /// Starts a node under its name and address, with the list that its agent holds.
 pub fn start(lab: &Rc<Lab>, node: usize) -> Result<(), ProcessError> {
-    let known = lab.state.borrow().discovery.list(node);
+    let known = lab.state.borrow().discovery.known_entries(node);
     write_config(lab, node)?;
     // What stands in its configuration was told to it.
     lab.told(node, &known);
--- a/lab/src/real/servers.rs
+++ b/lab/src/real/servers.rs
@@ -1,8 +1,8 @@
 //! Cache servers on sockets: HTTP/1.1 as the protocol page has it, over the model.
 
 use super::lab::Lab;
-use crate::model::server::Said;
-use crate::plan::KEEPALIVE;
+use crate::model::server::ServerResponse;
+use crate::plan::KEEPALIVE_TIMEOUT;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full, Limited, StreamBody};
 use hyper::body::{Bytes, Frame, Incoming};
@@ -65,7 +65,7 @@
     let (taken, report) = {
         let state = &mut *lab.state.borrow_mut();
         state.record.probes += 1;
-        (state.fleet.probed(now, server, &mut out), state.fleet.report(now, server, now))
+        (state.fleet.probe(now, server, &mut out), state.fleet.load_report(now, server, now))
     };
     lab.carry(out);
     let Some(taken) = taken else { return std::future::pending().await };
@@ -81,7 +81,7 @@
     {
         let state = &mut *lab.state.borrow_mut();
         let machine = &mut state.fleet.machines[server].server;
-        if !machine.accepts() {
+        if !machine.accepts_connections() {
             return;
         }
         machine.connections += 1;
@@ -93,7 +93,7 @@
         async { Ok::<_, Infallible>(reply.await) }
     });
     let mut http = http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(Duration::from_micros(KEEPALIVE));
+    http.timer(TokioTimer::new()).header_read_timeout(Duration::from_micros(KEEPALIVE_TIMEOUT));
     // How a connection breaks is its node's affair.
     let _ = http.serve_connection(TokioIo::new(stream), service).await;
     let machine = &mut lab.state.borrow_mut().fleet.machines[server].server;
@@ -121,15 +121,15 @@
     // A server that is gone says no more; its connection is reset.
     let Ok(said) = said.await else { return std::future::pending().await };
     let note = match said {
-        Said::Hit => "hit",
-        Said::Miss => "miss",
+        ServerResponse::Hit => "hit",
+        ServerResponse::Miss => "miss",
         // The length that it names never comes: the connection ends before.
-        Said::Broken => return broken(&id),
-        Said::Error => {
+        ServerResponse::Truncated => return broken(&id),
+        ServerResponse::Error => {
             sleep(ERROR_TAKES).await;
             return status(StatusCode::INTERNAL_SERVER_ERROR);
         }
-        Said::Full => {
+        ServerResponse::QueueFull => {
             let mut reply = status(StatusCode::SERVICE_UNAVAILABLE);
             reply.headers_mut().insert("srv-declined", HeaderValue::from_static("1"));
             return reply;
@@ -139,12 +139,12 @@
     reply.headers_mut().insert("srv-cache", HeaderValue::from_static(note));
     let now = lab.now();
     let state = &mut *lab.state.borrow_mut();
-    if let Some(load) = written(&state.fleet.report(now, server, job)) {
+    if let Some(load) = written(&state.fleet.load_report(now, server, job)) {
         reply.headers_mut().insert("srv-load", load);
     }
-    if !lab.plan.kinds[lab.plan.asks[state.tickets[ticket].ask].kind].write {
+    if !lab.plan.classes[lab.plan.requests[state.tickets[ticket].ask].class].write {
         state.record.reads.0 += 1;
-        state.record.reads.1 += u64::from(said == Said::Miss);
+        state.record.reads.1 += u64::from(said == ServerResponse::Miss);
     }
     reply
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,7 +1,7 @@
 //! Reports: one HTML page of an experiment's runs that opens offline, with plots over time.
 
-use crate::experiment::{Experiment, Trouble};
-use crate::judge::{Doing, Result as Run, Second, FIGURES};
+use crate::experiment::{Experiment, ScheduledFault};
+use crate::judge::{NodeState, RunResult as Run, Second, FIGURES};
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 use plotters::prelude::*;
 use std::collections::BTreeMap;
@@ -104,7 +104,7 @@
 }
 
 /// A fault's name as experiments have it.
-fn name(fault: &Trouble) -> String {
+fn name(fault: &ScheduledFault) -> String {
     serde_json::to_value(fault.what).ok().and_then(|name| Some(name.as_str()?.to_owned())).unwrap_or_default()
 }
 
@@ -220,13 +220,13 @@
     Ok(svg)
 }
 
-fn colour(doing: Doing) -> (RGBColor, &'static str) {
+fn colour(doing: NodeState) -> (RGBColor, &'static str) {
     match doing {
-        Doing::Serving => (RGBColor(200, 220, 200), "serving"),
-        Doing::Leaving => (RGBColor(214, 170, 60), "leaving"),
-        Doing::Paused => (RGBColor(120, 120, 190), "standing still"),
-        Doing::Slow => (RGBColor(160, 190, 220), "slow"),
-        Doing::Down => (RGBColor(170, 50, 50), "down"),
+        NodeState::Serving => (RGBColor(200, 220, 200), "serving"),
+        NodeState::Leaving => (RGBColor(214, 170, 60), "leaving"),
+        NodeState::Paused => (RGBColor(120, 120, 190), "standing still"),
+        NodeState::Slow => (RGBColor(160, 190, 220), "slow"),
+        NodeState::Down => (RGBColor(170, 50, 50), "down"),
     }
 }
 
@@ -253,9 +253,9 @@
             .y_labels(rows.len().min(12))
             .y_label_formatter(&label)
             .draw()?;
-        for doing in [Doing::Leaving, Doing::Paused, Doing::Slow, Doing::Down] {
+        for doing in [NodeState::Leaving, NodeState::Paused, NodeState::Slow, NodeState::Down] {
             let (fill, name) = colour(doing);
-            let spans = run.spans.iter().filter(|span| span.doing == doing);
+            let spans = run.spans.iter().filter(|span| span.state == doing);
             let bars: Vec<_> = spans
                 .filter_map(|span| {
                     let row = rows.binary_search(&span.node).ok()? as f64;
--- a/lab/src/scale/check.rs
+++ b/lab/src/scale/check.rs
@@ -1,7 +1,7 @@
 //! Checks: a figure within bounds in every run, or its spread over all of them.
 
 use super::{FigureMeaning, ScaleRun, TableReader};
-use crate::experiment::Fault;
+use crate::experiment::Diagnostic;
 use serde::Serialize;
 
 /// What has to hold.
@@ -130,12 +130,12 @@
 }
 
 /// A name that more than one check has: outcomes could not be told apart.
-pub(super) fn double_names(checks: &[toml::Value]) -> Vec<Fault> {
+pub(super) fn double_names(checks: &[toml::Value]) -> Vec<Diagnostic> {
     let names: Vec<_> = checks.iter().map(|check| check.get("name").and_then(toml::Value::as_str)).collect();
     let is_double = |place: usize| names[place].is_some() && names[..place].contains(&names[place]);
-    let fault = |place: usize| Fault {
-        place: format!("check {}: name", place + 1),
-        what: format!(
+    let fault = |place: usize| Diagnostic {
+        location: format!("check {}: name", place + 1),
+        message: format!(
             "found \"{}\" a second time, expected a name of its own",
             names[place].unwrap_or_default()
         ),
--- a/lab/src/scale/experiment.rs
+++ b/lab/src/scale/experiment.rs
@@ -4,7 +4,7 @@
 use super::{
     CheckOutcome, FigureMeaning, Kind, RunOptions, ScaleCheck, ScaleKind, ScaleRun, TableReader, KINDS,
 };
-use crate::experiment::{ExperimentError, Fault};
+use crate::experiment::{Diagnostic, ExperimentError};
 use std::error::Error;
 use std::path::Path;
 use toml::{Table, Value};
@@ -28,11 +28,12 @@
     pub fn load(path: &Path) -> Result<Option<Self>, ExperimentError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| ExperimentError::Unreadable { path: path.to_owned(), error })?;
-        Self::parse(&text).map_err(|faults| ExperimentError::Faulty { path: path.to_owned(), faults })
+        Self::parse(&text)
+            .map_err(|faults| ExperimentError::Invalid { path: path.to_owned(), diagnostics: faults })
     }
 
     /// Reads a text.
-    pub fn parse(text: &str) -> Result<Option<Self>, Vec<Fault>> {
+    pub fn parse(text: &str) -> Result<Option<Self>, Vec<Diagnostic>> {
         // What is no TOML at all is told by the reader of the other sort, with its line.
         let Ok(file) = text.parse::<Table>() else { return Ok(None) };
         let Some(kind) = KINDS.iter().find(|kind| file.contains_key(kind.table)) else { return Ok(None) };
@@ -44,7 +45,7 @@
         }
     }
 
-    fn read(file: &Table, kind: &'static Kind, faults: &mut Vec<Fault>) -> Option<Self> {
+    fn read(file: &Table, kind: &'static Kind, faults: &mut Vec<Diagnostic>) -> Option<Self> {
         let mut top = TableReader::new("", file, faults);
         top.only(&["name", "about", "check", kind.table]);
         let name = top.required("name", "a text");
@@ -69,7 +70,7 @@
     checks: &[Value],
     figures: &[FigureMeaning],
     groups: Option<&[String]>,
-    faults: &mut Vec<Fault>,
+    faults: &mut Vec<Diagnostic>,
 ) -> Vec<ScaleCheck> {
     let mut read = Vec::new();
     for (place, check) in checks.iter().enumerate() {
@@ -80,7 +81,7 @@
             }
             other => {
                 let what = format!("found {other}, expected a table");
-                faults.push(Fault { place, what });
+                faults.push(Diagnostic { location: place, message: what });
             }
         }
     }
--- a/lab/src/scale/reader.rs
+++ b/lab/src/scale/reader.rs
@@ -1,6 +1,6 @@
 //! Reading a table of a file value by value, so that everything wrong with it is told at once.
 
-use crate::experiment::Fault;
+use crate::experiment::Diagnostic;
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 use toml::{Table, Value};
@@ -9,13 +9,13 @@
 pub struct TableReader<'a> {
     place: String,
     table: &'a Table,
-    faults: &'a mut Vec<Fault>,
+    faults: &'a mut Vec<Diagnostic>,
     faults_before: usize,
 }
 
 impl<'a> TableReader<'a> {
     /// Reads `table`, which stands at `place`.
-    pub fn new(place: &str, table: &'a Table, faults: &'a mut Vec<Fault>) -> Self {
+    pub fn new(place: &str, table: &'a Table, faults: &'a mut Vec<Diagnostic>) -> Self {
         Self { place: place.to_owned(), table, faults_before: faults.len(), faults }
     }
 
@@ -32,7 +32,8 @@
     /// Tells that something is wrong.
     pub fn fault(&mut self, key: &str, found: &str, expected: &str) {
         let place = if self.place.is_empty() { key.to_owned() } else { format!("{}: {key}", self.place) };
-        self.faults.push(Fault { place, what: format!("found {found}, expected {expected}") });
+        self.faults
+            .push(Diagnostic { location: place, message: format!("found {found}, expected {expected}") });
     }
 
     /// Tells of every key that is not one of these.
--- a/lab/src/scale/tests.rs
+++ b/lab/src/scale/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::experiment::Fault;
+use crate::experiment::Diagnostic;
 
 const SMALL: &str = "name = \"small\"\nabout = \"a test\"\n\
     [membership]\ncases = [\"rest\", \"kill\"]\nnodes = [4, 6]\nsettle = \"1s\"\nrest = \"6s\"\n\
@@ -9,7 +9,7 @@
 fn told(text: &str) -> Vec<String> {
     match ScaleExperiment::parse(text) {
         Ok(_) => Vec::new(),
-        Err(faults) => faults.iter().map(Fault::to_string).collect(),
+        Err(faults) => faults.iter().map(Diagnostic::to_string).collect(),
     }
 }
 
