--- a/lab/src/dissemination/joint.rs
+++ b/lab/src/dissemination/joint.rs
@@ -46,7 +46,7 @@
 /// Runs a load on as many peers as it names, with their membership.
 pub fn run(load: &Load) -> Outcome {
     let config = PeersConfig {
-        nodes: load.nodes as u32,
+        configured_nodes: load.nodes as u32,
         dissemination: Some(DisseminationConfig::default()),
         ..PeersConfig::default()
     };
@@ -140,11 +140,11 @@
                 DisseminationOutput::LogReset { after, through, .. } => {
                     self.ledger.reset(told.at, subscriber, after, through);
                 }
-                DisseminationOutput::StateInForce { entry, .. } => {
+                DisseminationOutput::StateApplied { entry, .. } => {
                     self.in_force.entry((entry.sequence, told.node)).or_insert(told.at);
                 }
-                DisseminationOutput::Acknowledged { after, nodes, .. } => {
-                    self.acknowledged.push(after);
+                DisseminationOutput::Acknowledged { elapsed, nodes, .. } => {
+                    self.acknowledged.push(elapsed);
                     self.false_words += usize::from((nodes as usize) < self.alive());
                 }
                 DisseminationOutput::Unacknowledged { .. } => self.named_late += 1,
--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use walkpick::{Class, Effect, Scope, ServerId};
+use walkpick::{Class, DedupScope, Effect, ServerId};
 
 /// A crash of a cold server violates the rule on cold servers where at least this share of the work came from nodes that
 /// had been notified of its start.
@@ -84,7 +84,7 @@
     match effect {
         Effect::Safe => true,
         Effect::Unsafe => !may_have_run,
-        Effect::Keyed { scope, .. } => !may_have_run || scope == Scope::All,
+        Effect::Keyed { scope, .. } => !may_have_run || scope == DedupScope::All,
     }
 }
 
@@ -352,7 +352,7 @@
             let worth = class.config.worth * request.work_us / SECOND as f64;
             let latency = at.map(|at| at.saturating_sub(request.at));
             let in_time = outcome == ClientOutcome::Served
-                && latency.is_some_and(|latency| latency <= micros(class.config.aim));
+                && latency.is_some_and(|latency| latency <= micros(class.config.latency_target));
             let served = if in_time { worth } else { 0.0 };
             let index = ((request.at - lead) / SECOND) as usize;
             if series.len() <= index {
--- a/lab/src/model/clients.rs
+++ b/lab/src/model/clients.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand_distr::{Distribution, Zipf};
 use std::time::Duration;
-use walkpick::{Class, Effect, Scope};
+use walkpick::{Class, DedupScope, Effect};
 
 /// A class of requests, with its part in the clients' traffic.
 #[derive(Clone, Debug)]
@@ -26,11 +26,11 @@
 /// The four classes of the operators' page, each at the middle of its ranges.
 pub fn client_classes() -> Vec<ClientClass> {
     let ms = Duration::from_millis;
-    let class = |name: &str, share, work_ms: u64, cv, aim, deadline, worth, effect| ClientClass {
+    let class = |name: &str, share, work_ms: u64, cv, latency_target, deadline, worth, effect| ClientClass {
         config: Class {
             name: name.into(),
             effect,
-            aim: ms(aim),
+            latency_target: ms(latency_target),
             deadline: ms(deadline),
             worth,
             late_worth: 0.0,
@@ -40,7 +40,7 @@
         cv,
         write: effect != Effect::Safe,
     };
-    let keyed = Effect::Keyed { scope: Scope::All, window: ms(3_000) };
+    let keyed = Effect::Keyed { scope: DedupScope::All, window: ms(3_000) };
     vec![
         class("sub-view", 0.605, 86, 1.1, 500, 1_000, 3.0, Effect::Safe),
         class("catalogue", 0.36, 155, 1.0, 1_200, 4_000, 1.0, Effect::Safe),
@@ -92,7 +92,7 @@
     match (outcome, effect) {
         (ClientOutcome::Served, _) => false,
         (ClientOutcome::Refused | ClientOutcome::Unreachable, _) | (_, Effect::Safe) => true,
-        (_, Effect::Keyed { scope, window }) => scope == Scope::All && since_first < micros(window),
+        (_, Effect::Keyed { scope, window }) => scope == DedupScope::All && since_first < micros(window),
         (_, Effect::Unsafe) => false,
     }
 }
--- a/lab/src/model/fleet.rs
+++ b/lab/src/model/fleet.rs
@@ -180,7 +180,7 @@
 
     /// The entries of all servers that have not been removed.
     pub fn entries(&self) -> Vec<ServerEntry> {
-        let present = self.machines.iter().filter(|machine| machine.availability != Availability::Gone);
+        let present = self.machines.iter().filter(|machine| machine.availability != Availability::Removed);
         present.map(|machine| machine.entry.clone()).collect()
     }
 
@@ -470,11 +470,11 @@
         let Some(&server) = affected.get(step / 2) else { return };
         let duration = micros(scheduled.to).saturating_sub(micros(scheduled.from));
         let interval = duration / (2 * affected.len()).max(1) as Micros;
-        let state = if step.is_multiple_of(2) { Availability::Draining } else { Availability::Gone };
+        let state = if step.is_multiple_of(2) { Availability::Draining } else { Availability::Removed };
         let machine = &mut self.machines[server];
         (machine.availability, machine.entry.availability) = (state, state);
         let (zone, mut changed) = (machine.zone, vec![machine.entry.clone()]);
-        if state == Availability::Gone {
+        if state == Availability::Removed {
             out.push(FleetOutput::ReachabilityChanged);
             let new = self.add(zone, Some(now));
             changed.push(self.machines[new].entry.clone());
--- a/lab/src/model/server.rs
+++ b/lab/src/model/server.rs
@@ -237,7 +237,11 @@
         }
         let (_, busy, waiting) = self.reported.unwrap_or_default();
         let noisy = |value: f64| value * (1.0 + REPORT_NOISE * (2.0 * noise - 1.0));
-        LoadReport { service_time: None, busy: Some(noisy(busy).min(1.0)), waiting: Some(noisy(waiting)) }
+        LoadReport {
+            service_time: None,
+            utilization: Some(noisy(busy).min(1.0)),
+            queue_length: Some(noisy(waiting)),
+        }
     }
 
     /// Receives a probe, which costs work. Returns whether it is accepted: not when the server is at its limit of
--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -108,9 +108,9 @@
         let settings = Settings {
             nodes: deployment.nodes,
             classes: classes.iter().map(|class| class.config.clone()).collect(),
-            sized: false,
+            nominal_weights: false,
             max_attempts: MAX_ATTEMPTS,
-            second_copies: true,
+            hedging: true,
             cancelling: true,
             probing: deployment.probes,
             max_retry_after: Duration::from_secs(2),
@@ -118,8 +118,8 @@
             keepalive: Duration::from_micros(KEEPALIVE_TIMEOUT),
             cold_share: deployment.cold_share,
             warm_within: deployment.warm,
-            fall_multiple: OVERLOAD_MULTIPLE,
-            fall_span: Duration::from_micros(OVERLOAD_WINDOW),
+            overload_multiple: OVERLOAD_MULTIPLE,
+            overload_window: Duration::from_micros(OVERLOAD_WINDOW),
             ..Settings::default()
         };
         Self {
--- a/lab/src/policies.rs
+++ b/lab/src/policies.rs
@@ -11,8 +11,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use walkpick::{
-    Action, Availability, Balancer, Class, ClassId, Effect, EndReason, Event, LoadReport, Note, Outcome,
-    Request, RequestId, ServerEntry, ServerId, ServerList, Settings, Status, Timestamp,
+    Action, Availability, Balancer, CacheStatus, Class, ClassId, Effect, EndReason, Event, LoadReport,
+    Outcome, Request, RequestId, ServerEntry, ServerId, ServerList, Settings, Status, Timestamp,
 };
 
 /// A decision module, as hosted by a node.
@@ -75,8 +75,8 @@
             fleet.machines[index].server.cache(key);
         }
         let (took, load) = (Duration::from_millis(1), LoadReport::default());
-        let (status, note) = (Status::Ok, Some(Note::Hit));
-        let outcome = Outcome { id, attempt: 0, server, status, note, took, finished: true, load };
+        let (status, cache_status) = (Status::Ok, Some(CacheStatus::Hit));
+        let outcome = Outcome { id, attempt: 0, server, status, cache_status, took, finished: true, load };
         module.handle(Timestamp::from_micros(now), Event::Outcome(outcome), &mut actions);
     }
 }
@@ -121,7 +121,7 @@
         match first.filter(|(expected_s, _)| *expected_s < left_s) {
             Some((_, server)) => {
                 let (server, timeout) = (server.clone(), request.valid_until.since(now));
-                actions.push(Action::Send { id: id.clone(), server, timeout, begin_within: None });
+                actions.push(Action::Send { id: id.clone(), server, timeout, start_within: None });
                 self.in_flight.insert(id, (request, attempt));
             }
             None if attempt == 0 => {
@@ -278,7 +278,7 @@
             self.servers.retain(|id, _| list.iter().any(|entry| entry.id == *id));
         }
         for entry in list {
-            if entry.availability == Availability::Gone && self.pick_by != PickBy::Unfiltered {
+            if entry.availability == Availability::Removed && self.pick_by != PickBy::Unfiltered {
                 self.servers.remove(&entry.id);
                 continue;
             }
@@ -319,7 +319,7 @@
             *breaker = breaker.after_send();
         }
         let timeout = request.valid_until.since(now);
-        actions.push(Action::Send { id: id.clone(), server, timeout, begin_within: None });
+        actions.push(Action::Send { id: id.clone(), server, timeout, start_within: None });
         self.in_flight.insert(id, (request, attempt));
     }
 
--- a/lab/src/real/lab.rs
+++ b/lab/src/real/lab.rs
@@ -508,7 +508,7 @@
                 let mut ways = self.links.impairment(i, RemoteKind::Server, server);
                 ways.forward.silent |= machine.unresponsive();
                 ways.backward.silent |= machine.unresponsive();
-                let down = machine.availability == Availability::Gone;
+                let down = machine.availability == Availability::Removed;
                 apply(link, Conditions { ways, down, ..Conditions::default() });
             }
             for (party, link) in
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use walkpick::{
-    Action, Availability, ClassId, Event as NodeEvent, LoadReport, Note, Outcome, Request, RequestId,
+    Action, Availability, CacheStatus, ClassId, Event as NodeEvent, LoadReport, Outcome, Request, RequestId,
     ServerEntry, ServerId, ServerList, Settings, Status, Timestamp,
 };
 
@@ -462,7 +462,7 @@
                 }
             }
             Action::Probe { server } => self.probe(node, server),
-            Action::Cancel { .. } | Action::Follow | Action::Log(_) => {}
+            Action::Cancel { .. } | Action::Subscribe | Action::Log(_) => {}
         }
     }
 
@@ -540,9 +540,9 @@
             idle.clear();
         }
         let link = self.links.impairment(node, RemoteKind::Server, server);
-        let (silent, gone) =
-            (machine.unresponsive() || link.silent(), machine.availability == Availability::Gone);
-        let refused = new_connection && !silent && (gone || !machine.server.accepts_connections());
+        let (silent, removed) =
+            (machine.unresponsive() || link.silent(), machine.availability == Availability::Removed);
+        let refused = new_connection && !silent && (removed || !machine.server.accepts_connections());
         let (number, attempt) = (self.tries[try_id].attempts.len() as u32, self.attempts.len());
         self.record.attempts += 1;
         self.record.crossings += u64::from(self.nodes[node].zone != self.fleet.machines[server].zone);
@@ -598,7 +598,7 @@
     }
 
     /// Ends an attempt for its node, if it is still in flight.
-    fn end_attempt(&mut self, attempt_id: AttemptId, status: Status, note: Option<Note>) {
+    fn end_attempt(&mut self, attempt_id: AttemptId, status: Status, cache_status: Option<CacheStatus>) {
         let attempt = &mut self.attempts[attempt_id];
         let (try_id, server, took) = (attempt.try_id, attempt.server, self.now - attempt.sent_at);
         if std::mem::replace(&mut attempt.ended, true) {
@@ -627,11 +627,11 @@
             let write = self.plan.classes[self.plan.requests[self.tries[try_id].request].class].write;
             if !write {
                 self.record.reads.0 += 1;
-                self.record.reads.1 += u64::from(note == Some(Note::Miss));
+                self.record.reads.1 += u64::from(cache_status == Some(CacheStatus::Miss));
             }
         }
         let finished = self.tries[try_id].answered;
-        let load = match note {
+        let load = match cache_status {
             Some(_) => self.fleet.load_report(self.now, server, attempt_id as u64),
             None => LoadReport::default(),
         };
@@ -639,7 +639,16 @@
         let took = Duration::from_micros(took);
         self.feed(
             node,
-            NodeEvent::Outcome(Outcome { id, attempt: number, server, status, note, took, finished, load }),
+            NodeEvent::Outcome(Outcome {
+                id,
+                attempt: number,
+                server,
+                status,
+                cache_status,
+                took,
+                finished,
+                load,
+            }),
         );
     }
 
@@ -704,14 +713,14 @@
     }
 
     fn response_at_node(&mut self, attempt: AttemptId, response: ServerResponse) {
-        let (status, note) = match response {
-            ServerResponse::Hit => (Status::Ok, Some(Note::Hit)),
-            ServerResponse::Miss => (Status::Ok, Some(Note::Miss)),
+        let (status, cache_status) = match response {
+            ServerResponse::Hit => (Status::Ok, Some(CacheStatus::Hit)),
+            ServerResponse::Miss => (Status::Ok, Some(CacheStatus::Miss)),
             ServerResponse::Error => (Status::Failed, None),
             ServerResponse::Truncated => (Status::Reset, None),
             ServerResponse::QueueFull => (Status::QueueFull, None),
         };
-        self.end_attempt(attempt, status, note);
+        self.end_attempt(attempt, status, cache_status);
     }
 
     // Discovery.
