--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! An emulator of a whole deployment of walkpick: a model of everything around the nodes, two drivers of it (simulated
-//! time, and real nodes on loopback sockets), faults on a schedule, and judges. The program is `walkpick-lab`.
+//! An emulator of a complete walkpick deployment: a model of the systems around the nodes, two drivers that run it
+//! (simulated time, and real nodes on loopback sockets), scheduled faults, and judges. The binary is `walkpick-lab`.
 
 pub mod capacity;
 pub mod cluster;
