--- a/src/api.rs
+++ b/src/api.rs
@@ -1,17 +1,17 @@
-//! What goes into a [`Balancer`](crate::Balancer) and what comes out: settings, events, actions.
+//! The interface of a [`Balancer`](crate::Balancer): settings and events go in, actions come out.
 
 use std::fmt;
 use std::ops::Add;
 use std::sync::Arc;
 use std::time::Duration;
 
-macro_rules! name_type {
+macro_rules! string_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(Arc<str>);
         impl $name {
-            /// The name as text.
+            /// The string itself.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -29,29 +29,29 @@
     };
 }
 
-name_type!(/// A server, by the name the caller knows it under; cheap to clone.
+string_newtype!(/// Identifies a server by the name that the caller uses for it. Cheap to clone.
     ServerId);
-name_type!(/// A request, by a name that is never used twice; cheap to clone.
+string_newtype!(/// Identifies a request. An id is never reused. Cheap to clone.
     RequestId);
-name_type!(/// Name of a zone, a kind of machine, a class or a tenant; compared, never interpreted.
+string_newtype!(/// Name of a zone, a kind of machine, a class or a tenant. Only compared, never interpreted.
     Name);
 
-/// A point on the caller's clock, in microseconds from any origin; the clock must not run backwards.
+/// A reading of the caller's monotonic clock, in microseconds since an arbitrary origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// Later than any other.
+    /// The latest timestamp that can be represented.
     pub const MAX: Self = Self(u64::MAX);
-    /// From a count of microseconds.
+    /// Creates a timestamp from a number of microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
-    /// As a count of microseconds.
+    /// The number of microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
-    /// Time since `earlier`; zero where that lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -64,60 +64,60 @@
     }
 }
 
-/// Position of a class in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassId(pub usize);
 
-/// Position of a tenant in [`Settings::tenants`].
+/// Index of a tenant in [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantId(pub usize);
 
-/// Which servers discard a repeat of a keyed request.
+/// The set of servers that recognize and discard a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Any server does.
+    /// All servers.
     All,
-    /// Those of the zone the request was first sent to.
+    /// The servers in the zone that the request was first sent to.
     Zone,
-    /// Those of the cell the request was first sent to.
+    /// The servers in the cell that the request was first sent to.
     Cell,
 }
 
-/// What running a request twice would do.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// No harm.
+    /// Running it again does no harm.
     Safe,
-    /// No harm within `scope` for `window` from the first send that may have run.
+    /// Servers within `scope` discard repeats for `window`, from the first attempt that may have run.
     Keyed {
         /// The servers that discard repeats.
         scope: DedupScope,
-        /// For how long they do.
+        /// How long they discard repeats.
         window: Duration,
     },
-    /// Harm: it must never run twice.
+    /// It must never run twice.
     Unsafe,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: Name,
-    /// What a repeat does.
+    /// Whether its requests may run more than once.
     pub effect: Effect,
-    /// Answers within this time are worth most.
+    /// Answers within this time have their full worth.
     pub latency_target: Duration,
     /// Clients give up for good after this time.
     pub deadline: Duration,
-    /// What an answer is worth.
+    /// Worth of an answer within the latency target.
     pub worth: f64,
-    /// Share of the worth that an answer after the aim still has.
+    /// Share of the worth that remains when an answer misses the latency target.
     pub late_worth: f64,
 }
 
 impl Default for Class {
-    /// The most careful class: never repeated.
+    /// The most conservative class: its requests are never repeated.
     fn default() -> Self {
         Self {
             name: "".into(),
@@ -130,28 +130,28 @@
     }
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: Name,
-    /// Requests a second, over all nodes, that are within its share.
+    /// Requests per second, summed over all nodes, that are within its quota.
     pub quota_per_s: f64,
 }
 
-/// Where missing values come from.
+/// Where values that the cache lacks come from.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CacheMode {
-    /// Cache servers fetch them and forward writes.
+    /// Read-through and write-through: cache servers fetch missing values and forward writes.
     Through,
-    /// The balancer sends misses and writes to the origin: the list entry of this kind.
+    /// Cache-aside: the balancer sends misses and writes to the origin, a server of a kind of its own.
     Aside {
-        /// Kind of the origin's entry.
+        /// Kind of the origin's server entry.
         origin_kind: Name,
     },
 }
 
-/// Start-up settings. `Default` gives a value for each, for callers that know only some.
+/// Start-up settings. `Default` provides a value for each setting that the caller does not know.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Zone of this node.
@@ -160,37 +160,38 @@
     pub nodes: u32,
     /// Classes of requests.
     pub classes: Vec<Class>,
-    /// Tenants, if there are any.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request over its tenant's share, as a part of its class's.
+    /// Worth of a request over its tenant's quota, as a share of its class's worth.
     pub over_share_worth: f64,
-    /// Where missing values come from.
+    /// Where values that the cache lacks come from.
     pub mode: CacheMode,
-    /// Whether the weights of servers tell their speed, and not just how many cores they have.
+    /// Whether server weights are nominal and include a server's speed. Otherwise weights follow the server's
+    /// load and say nothing about the speed of its cores.
     pub nominal_weights: bool,
-    /// Whether the list must be asked for (`Follow`) rather than pushed.
+    /// Whether the node must subscribe to the server list ([`Action::Subscribe`]); otherwise it is pushed.
     pub must_subscribe: bool,
-    /// Attempts a request may have.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Whether two attempts of a request may be out at once.
+    /// Whether a request may have two attempts in flight at once.
     pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancelling: bool,
     /// Whether servers may be probed.
     pub probing: bool,
-    /// Longest stay-away advice a client honours; zero where clients are told none.
+    /// Longest retry-after delay that clients honour; zero if they honour none.
     pub max_retry_after: Duration,
-    /// A new connection not established within this time fails.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Servers close a connection that has stood idle for this long.
+    /// Servers close connections that have been idle for this long.
     pub keepalive: Duration,
-    /// Share of its capacity that a fresh server has at least.
+    /// Share of its full capacity that a server has when it starts.
     pub cold_share: f64,
-    /// A fresh server is warm after this time.
+    /// A server is warm, at full capacity, this long after its start.
     pub warm_within: Duration,
-    /// A cold server sent more than this multiple of its present capacity falls over.
+    /// A cold server crashes when it is sent more than this multiple of its current capacity.
     pub overload_multiple: f64,
-    /// The span over which that is counted.
+    /// The window over which requests are counted against that multiple.
     pub overload_window: Duration,
 }
 
@@ -220,38 +221,38 @@
     }
 }
 
-/// What discovery says of a server.
+/// State of a server according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Finishes its work and must be sent no more.
+    /// Finishes the requests that it has and must not be sent new ones.
     Draining,
-    /// Removed.
+    /// No longer part of the fleet.
     Removed,
 }
 
-/// One server, as discovery lists it.
+/// A server as listed by discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// Its id.
+    /// Identifies the server.
     pub id: ServerId,
-    /// Its zone.
+    /// Zone that the server is in.
     pub zone: Option<Name>,
-    /// Its kind.
+    /// Kind of machine.
     pub kind: Option<Name>,
-    /// The small group it shares its memory of repeats with.
+    /// Small group of servers that deduplicate repeated requests together.
     pub cell: u64,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub availability: Availability,
-    /// Its size, for comparison with other servers.
+    /// Capacity relative to other servers.
     pub weight: f64,
-    /// When it last started; `None` for long ago.
+    /// When it last started; `None` if that was long ago.
     pub started: Option<Timestamp>,
 }
 
 impl ServerEntry {
-    /// A ready server of weight 1 that started long ago.
+    /// Creates the entry of a ready server with weight 1 that started long ago.
     pub fn new(id: &str) -> Self {
         Self {
             id: id.into(),
@@ -265,40 +266,40 @@
     }
 }
 
-/// Word from discovery.
+/// An update from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerList {
-    /// The complete list: what it lacks is gone.
+    /// The complete list: servers that it lacks have been removed.
     Full(Arc<[ServerEntry]>),
-    /// Entries that changed.
+    /// The entries that changed.
     Changes(Arc<[ServerEntry]>),
-    /// A call failed or the subscription broke; the list held stays.
+    /// A call failed or the subscription broke; the current list stays in use.
     Unavailable,
 }
 
-/// A request from a client. It is owed exactly one final answer.
+/// A request from a client. It must get exactly one final answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Identifies the request.
     pub id: RequestId,
-    /// Its class; `None` for one the settings do not name.
+    /// Class of the request; `None` if the settings do not define it.
     pub class: Option<ClassId>,
-    /// Its tenant.
+    /// Tenant that the request belongs to.
     pub tenant: Option<TenantId>,
-    /// The object it is about.
+    /// Key of the object that is read or written.
     pub key: Option<u64>,
-    /// When the client gives this try up.
+    /// When the client stops waiting for this request.
     pub valid_until: Timestamp,
-    /// Rough forecast of its work, as time on a standard core.
+    /// Rough estimate of the processing time on a standard core.
     pub expected_work: Option<Duration>,
-    /// Whether it changes the object.
+    /// Whether it modifies the object.
     pub write: bool,
-    /// Whether it is marked as a client's repeat.
+    /// Whether the client marked it as a retry.
     pub client_retry: bool,
 }
 
 impl Request {
-    /// A read of an unnamed class, to be answered before `valid_until`.
+    /// Creates a read without a class that must be answered before `valid_until`.
     pub fn new(id: &str, valid_until: Timestamp) -> Self {
         Self {
             id: id.into(),
@@ -316,15 +317,15 @@
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// The server answered successfully.
     Ok,
     /// The server answered with an error; the request may have run.
     Failed,
-    /// Turned away unseen; it never ran.
+    /// The server rejected it unprocessed; it never ran.
     QueueFull,
-    /// No answer in time; it may have run or still run.
+    /// No answer before the timeout; it may have run or may still be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be established; it never ran.
     ConnectError,
     /// The connection broke; it may have run.
     Reset,
@@ -332,124 +333,124 @@
     Canceled,
     /// Never sent.
     Ignored,
-    /// The server holds no value for the key; it never ran.
+    /// The server has no value for the key; the request never ran.
     Miss,
 }
 
 impl Status {
-    /// Whether this outcome proves that the request never ran.
+    /// Whether this status proves that the request never ran.
     pub const fn never_ran(self) -> bool {
         matches!(self, Self::QueueFull | Self::ConnectError | Self::Ignored | Self::Miss)
     }
 }
 
-/// What a server says of its load; `None` where it says nothing.
+/// Load that a server reports with an answer; `None` for figures that it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Recent service time without waiting.
+    /// Recent service time, without queueing.
     pub service_time: Option<Duration>,
-    /// How busy its cores are, 0 to 1.
+    /// Utilization of its cores, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Requests that wait for a core.
+    /// Number of requests that wait for a core.
     pub queue_length: Option<f64>,
 }
 
-/// What a cache server says of how it came by an answer.
+/// How a cache server obtained its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
-    /// It held the value.
+    /// The value was cached.
     Hit,
-    /// It did not.
+    /// The value was not cached.
     Miss,
-    /// It did not, and has told another request to fetch it.
+    /// The value was not cached and is being fetched for another request.
     MissFetching,
 }
 
-/// The end of one attempt; every `Send` gets exactly one.
+/// The end of an attempt. Every [`Action::Send`] gets exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
     /// The request.
     pub id: RequestId,
-    /// Number of the attempt, from 0 in the order of sending.
+    /// Number of the attempt, counted from 0 in sending order.
     pub attempt: u32,
-    /// The server.
+    /// The server that it was sent to.
     pub server: ServerId,
     /// How it ended.
     pub status: Status,
-    /// Where the answer came from.
+    /// How the server obtained the answer, if it says so.
     pub cache_status: Option<CacheStatus>,
-    /// Time since it was sent.
+    /// Time from sending the attempt to its end.
     pub took: Duration,
-    /// The request has its final answer.
+    /// Whether the client has its final answer.
     pub finished: bool,
-    /// The server's load.
+    /// Load that the server reported.
     pub load: LoadReport,
 }
 
 /// Something that happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The node starts with the list it held last, possibly stale.
+    /// The node starts with the last list that it had, which may be stale.
     Restored(Arc<[ServerEntry]>),
-    /// Word from discovery.
+    /// An update from discovery.
     Servers(ServerList),
-    /// So many nodes there are, in place of [`Settings::nodes`]; whoever says so has made sure that a node which is
-    /// merely cut off is not told fewer.
+    /// The current number of nodes, which replaces [`Settings::nodes`]. The caller makes sure that a node
+    /// that is merely partitioned from the others does not get a lower number.
     NodeCount(u32),
-    /// A client asks.
+    /// A client sent a request.
     Request(Request),
-    /// An attempt's answer has begun to stream to the client.
+    /// The answer to an attempt started to stream to the client.
     FirstByte {
         /// The request.
         id: RequestId,
     },
     /// An attempt ended.
     Outcome(Outcome),
-    /// The client left; nothing more is owed.
+    /// The client disconnected and needs no answer any more.
     Abandoned(RequestId),
-    /// A time asked for with [`Action::Wake`] has come.
+    /// The delay of an [`Action::Wake`] has passed.
     Timer,
     /// A probe ended.
     Probed {
         /// The server.
         server: ServerId,
-        /// How it ended.
+        /// How the probe ended.
         status: Status,
-        /// Time since it was sent.
+        /// Time from sending the probe to its end.
         took: Duration,
-        /// The server's load.
+        /// Load that the server reported.
         load: LoadReport,
     },
 }
 
-/// Why a request ends with no answer of a server, for the log.
+/// Why a request ends without an answer from a server; written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Admission control: more is asked for than is answered in time.
+    /// Admission control: the fleet cannot answer all requests within their latency targets.
     Overload,
-    /// The retry budget does not bear another attempt.
+    /// The retry budget is too low for another attempt.
     RetryBudget,
-    /// The client's time is over.
+    /// The client no longer waits for it.
     OutOfTime,
-    /// The origin's breaker is open, and the request would probably miss.
+    /// The origin's breaker is open and the request would probably miss the cache.
     OriginFailing,
-    /// No server may take it: none is in use and has room, or a repeat is not allowed.
+    /// No server is available: none is in use and below its limits, or the request may not be repeated.
     NoServer,
 }
 
-/// Something the node must do, in the order given.
+/// Something that the node must do. Actions are carried out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt.
+    /// Start an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// Time-out of the attempt; the client's own end of patience cuts it short.
+        /// Timeout of the attempt; it ends earlier if the client stops waiting.
         timeout: Duration,
-        /// The attempt may begin within this time alone, however long its connection takes to come up: later, a
-        /// repeat may run twice. `None` where it may begin at any time.
+        /// The request must be written within this time, however long the connection takes to establish: a
+        /// repeat that is sent later may run twice. `None` if there is no such limit.
         start_within: Option<Duration>,
     },
     /// Stop waiting for an attempt.
@@ -459,39 +460,39 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: not done, and safe to try again.
+    /// Final answer: the request was not served and is safe to retry.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; zero for no advice.
+        /// How long the client should wait before it retries; zero for no advice.
         retry_after: Duration,
-        /// Why it is not sent on.
+        /// Why the request is refused.
         reason: EndReason,
     },
-    /// Final answer: failed, with no word on whether it ran.
+    /// Final answer: the request failed and may have run.
     Fail {
         /// The request.
         id: RequestId,
-        /// Why it is not sent on.
+        /// Why no further attempt is made.
         reason: EndReason,
     },
-    /// Deliver [`Event::Timer`] after this time.
+    /// Deliver [`Event::Timer`] after a delay.
     Wake {
-        /// From now.
+        /// The delay from now.
         after: Duration,
     },
     /// Probe a server.
     Probe {
-        /// Which.
+        /// The server.
         server: ServerId,
     },
     /// Close the idle connections to a server.
     Close {
-        /// Which.
+        /// The server.
         server: ServerId,
     },
-    /// Ask discovery to push changes.
+    /// Subscribe to discovery's changes.
     Subscribe,
-    /// A line for whoever is on call.
+    /// A log line for operators.
     Log(String),
 }
--- a/src/policy/breaker.rs
+++ b/src/policy/breaker.rs
@@ -1,4 +1,4 @@
-//! The circuit breaker: closed, open, half-open, tripping on the failure rate of a window.
+//! The circuit breaker: closed, open or half-open, tripping on the failure rate within a window.
 
 use crate::api::Timestamp;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 pub(super) const WINDOW: Duration = Duration::from_secs(5);
 pub(super) const COOLDOWN: Duration = Duration::from_secs(6);
 pub(super) const TRIALS: u32 = 3;
-/// No breaker trips while the other servers fail at this rate: the cause is not that one server's.
+/// A server's breaker does not trip while the other servers fail at this rate: the cause is a common one.
 pub(super) const COMMON_RATE: f64 = TRIP_RATE / 2.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -21,19 +21,20 @@
 #[derive(Debug)]
 pub(super) struct Breaker {
     pub(super) state: State,
-    /// Counts state changes: outcomes of attempts sent in an earlier state say nothing of the present one.
+    /// Number of state changes so far. The outcome of an attempt that was sent in an earlier state is
+    /// ignored.
     pub(super) epoch: u32,
     pub(super) window_ends: Timestamp,
     pub(super) calls: u32,
     pub(super) failures: u32,
-    /// Calls and failures of the window before, where it was one of many failures.
-    pub(super) before: (u32, u32),
+    /// Calls and failures of the previous window if many of its calls failed, otherwise zeros.
+    pub(super) previous: (u32, u32),
 }
 
 impl Breaker {
     pub(super) fn new(now: Timestamp) -> Self {
-        let (window_ends, before) = (now + WINDOW, (0, 0));
-        Self { state: State::Closed, epoch: 0, window_ends, calls: 0, failures: 0, before }
+        let (window_ends, previous) = (now + WINDOW, (0, 0));
+        Self { state: State::Closed, epoch: 0, window_ends, calls: 0, failures: 0, previous }
     }
 
     pub(super) fn enter(&mut self, state: State, now: Timestamp) {
@@ -59,37 +60,39 @@
         }
     }
 
-    /// Begins a new window where the present one is over.
-    pub(super) fn turn(&mut self, now: Timestamp) {
+    /// Starts a new window if the current one has ended.
+    pub(super) fn roll_window(&mut self, now: Timestamp) {
         if now >= self.window_ends {
-            // A server that failed much and stayed closed fails on: judged by the first few calls of each
-            // new window alone, it would trip by chance at a rate that is under the threshold.
-            let partly = f64::from(self.failures) >= COMMON_RATE * f64::from(self.calls);
-            let recent = partly && now < self.window_ends + WINDOW;
-            self.before = if recent { (self.calls, self.failures) } else { (0, 0) };
+            // A server that fails often but stays closed is judged over two windows: by the first few calls
+            // of each new window alone it would trip by chance at a failure rate below the threshold.
+            let many_failed = f64::from(self.failures) >= COMMON_RATE * f64::from(self.calls);
+            let carry_over = many_failed && now < self.window_ends + WINDOW;
+            self.previous = if carry_over { (self.calls, self.failures) } else { (0, 0) };
             (self.window_ends, self.calls, self.failures) = (now + WINDOW, 0, 0);
         }
     }
 
-    /// Whether calls fail at the rate that trips. Those that are lacking to tell are taken to fare as
-    /// `others` do, where that is known: one of many nodes rarely meets a server often within a window.
-    pub(super) fn failing(&self, others: Option<f64>) -> bool {
-        let (calls, failures) = (self.calls + self.before.0, self.failures + self.before.1);
-        let lacking = match others {
+    /// Whether calls fail at the rate that trips the breaker. With fewer than `MIN_CALLS` calls, the missing
+    /// ones are assumed to fail at the rate of the server's zone, if that is known: out of many nodes, each
+    /// one rarely calls a server often within a window.
+    pub(super) fn is_failing(&self, zone_rate: Option<f64>) -> bool {
+        let (calls, failures) = (self.calls + self.previous.0, self.failures + self.previous.1);
+        let missing = match zone_rate {
             None if self.calls < MIN_CALLS => return false,
             None => 0,
             Some(_) => MIN_CALLS.saturating_sub(calls),
         };
-        let failures = f64::from(failures) + f64::from(lacking) * others.unwrap_or(0.0);
-        failures >= TRIP_RATE * f64::from(calls + lacking)
+        let failures = f64::from(failures) + f64::from(missing) * zone_rate.unwrap_or(0.0);
+        failures >= TRIP_RATE * f64::from(calls + missing)
     }
 
-    /// `ok` is `None` where it tells nothing: a trial gives its place back. Returns whether it should trip.
+    /// Counts an outcome. `ok` is `None` for an outcome that says nothing about the server; a trial is then
+    /// returned to the pool. Returns whether the breaker should trip.
     pub(super) fn on_outcome(
         &mut self,
         epoch: u32,
         ok: Option<bool>,
-        others: Option<f64>,
+        zone_rate: Option<f64>,
         now: Timestamp,
     ) -> bool {
         if epoch != self.epoch {
@@ -105,10 +108,10 @@
                 }
             }
             (State::Closed, Some(ok)) => {
-                self.turn(now);
+                self.roll_window(now);
                 self.calls += 1;
                 self.failures += u32::from(!ok);
-                return self.failing(others);
+                return self.is_failing(zone_rate);
             }
             _ => {}
         }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,45 +1,47 @@
-//! A request's way through the module: taken, sent, judged by each outcome, ended once.
+//! The life cycle of a request: admission, attempts, the evaluation of their outcomes, and its final answer.
 
-use super::admission::{Signs, AIM_SHARE, BUSY};
+use super::admission::{LoadSignals, HIGH_UTILIZATION, LATE_SHARE};
 use super::breaker::State;
-use super::deployment::{NODES_MEETING_OFTEN, SERVER_CONNECTIONS};
+use super::deployment::{MAX_IDLE_CONNECTIONS, MAX_NODES_FOR_QUEUE_REPORTS};
 use super::hash::key_of;
-use super::retries::{RETRY_SAVED, RETRY_SHARE};
+use super::retries::{MAX_RETRY_BUDGET, RETRY_DEPOSIT};
 use super::Balancer;
 use crate::api::*;
 use std::time::Duration;
 
-/// A request that is held for want of room tries again at such steps of its aim.
-const HOLD_STEP: f64 = 0.1;
-/// A refused client is told to come back after such a part of its aim.
-const AWAY_STEP: f64 = 0.02;
+/// Interval at which a request that waits for a free server looks for one, as a share of its latency target.
+const WAIT_STEP: f64 = 0.1;
+/// How long a refused client is asked to stay away, as a share of its latency target.
+const RETRY_AFTER_SHARE: f64 = 0.02;
 
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) entry: ServerEntry,
-    pub(super) sent: Timestamp,
-    /// Of the server's breaker, of the origin's and of that for fetches, when it was sent.
+    pub(super) sent_at: Timestamp,
+    /// Epochs of the server's breaker, the origin's and the one for error retries when it was sent.
     pub(super) epochs: (u32, u32, u32),
     pub(super) status: Option<Status>,
-    /// When no answer to it is a failure, and whether that was counted.
-    pub(super) overdue: Timestamp,
-    pub(super) counted: bool,
-    /// What it paid into the retry budget (less than zero where it took from it), and what tokens it took.
-    pub(super) paid: f64,
-    pub(super) work: f64,
+    /// When a missing answer counts as a failure, and whether it has been counted.
+    pub(super) overdue_at: Timestamp,
+    pub(super) overdue_counted: bool,
+    /// What it added to the retry budget (negative if it was paid from it), and the tokens that it took.
+    pub(super) deposit: f64,
+    pub(super) tokens: f64,
 }
 
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct PendingRequest {
     pub(super) request: Request,
     pub(super) attempts: Vec<Attempt>,
-    pub(super) luck: f64,
-    pub(super) arrived: Timestamp,
+    /// Uniform between 0 and 1, for all random choices about this request.
+    pub(super) random_draw: f64,
+    pub(super) arrived_at: Timestamp,
+    /// The client has its final answer or needs none.
     pub(super) done: bool,
 }
 
-impl Held {
-    pub(super) fn outstanding(&self) -> usize {
+impl PendingRequest {
+    pub(super) fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.status.is_none()).count()
     }
 
@@ -49,220 +51,259 @@
 }
 
 impl Balancer {
-    pub(super) fn class_slot(&self, request: &Request) -> usize {
-        let other = self.settings.classes.len() - 1;
-        request.class.map_or(other, |id| id.0.min(other))
+    pub(super) fn class_index(&self, request: &Request) -> usize {
+        let no_class = self.settings.classes.len() - 1;
+        request.class.map_or(no_class, |id| id.0.min(no_class))
     }
 
     pub(super) fn class(&self, request: &Request) -> &Class {
-        &self.settings.classes[self.class_slot(request)]
+        &self.settings.classes[self.class_index(request)]
     }
 
-    pub(super) fn outcome(&mut self, now: Timestamp, outcome: &Outcome, actions: &mut Vec<Action>) {
-        let Some(mut held) = self.held.remove(&outcome.id) else { return };
-        let Some(attempt) = held.attempts.get_mut(outcome.attempt as usize) else { return self.keep(held) };
+    /// Evaluates the end of an attempt, then answers the request or makes another attempt.
+    pub(super) fn on_outcome(&mut self, now: Timestamp, outcome: &Outcome, actions: &mut Vec<Action>) {
+        let Some(mut pending) = self.pending.remove(&outcome.id) else { return };
+        let Some(attempt) = pending.attempts.get_mut(outcome.attempt as usize) else {
+            return self.keep(pending);
+        };
         attempt.status = Some(outcome.status);
-        let unsent = (outcome.status == Status::Ignored).then_some((attempt.paid, attempt.work));
+        let unsent = (outcome.status == Status::Ignored).then_some((attempt.deposit, attempt.tokens));
         let fetched =
             outcome.cache_status == Some(CacheStatus::Miss) && self.settings.mode == CacheMode::Through;
         let epochs = attempt.epochs;
-        self.judge_fetches(now, &held, outcome, epochs.2, actions);
-        let unfetched = outcome.status == Status::Failed && self.fetches.state != State::Closed;
-        self.bad += if unfetched { 1.0 } else { 0.0 };
-        // A client that gave up before an answer would have been late tells of itself, not of the server.
-        let impatient = outcome.status == Status::TimedOut
-            && outcome.took < self.class(&held.request).latency_target.mul_f64(AIM_SHARE);
+        self.record_error_retry(now, &pending, outcome, epochs.2, actions);
+        let origin_error =
+            outcome.status == Status::Failed && self.error_retry_breaker.state != State::Closed;
+        self.bad_events += if origin_error { 1.0 } else { 0.0 };
+        // A client that gave up before the answer would have been late says nothing about the server.
+        let gave_up_early = outcome.status == Status::TimedOut
+            && outcome.took < self.class(&pending.request).latency_target.mul_f64(LATE_SHARE);
         let ok = match outcome.status {
             Status::Ok | Status::Miss => Some(true),
             Status::Canceled | Status::Ignored => None,
-            _ if impatient => None,
-            // A failed fetch is the origin's failure, not the server's: another would ask the same origin.
-            _ if fetched || unfetched => None,
+            _ if gave_up_early => None,
+            // A failed fetch is the origin's failure: any other server would ask the same origin.
+            _ if fetched || origin_error => None,
             _ => Some(false),
         };
         if fetched || outcome.cache_status == Some(CacheStatus::Hit) {
-            if let Some(key) = self.keys.get_mut(&key_of(&held.request)) {
-                key.kept = ok.is_some();
+            if let Some(key) = self.keys.get_mut(&key_of(&pending.request)) {
+                key.cached = ok.is_some();
             }
         }
-        // With all fetches failing no answer tells of a miss: errors of the origin's do.
-        let fetch = if unfetched { Some(false) } else { fetched.then_some(ok.is_some()) };
-        if self.origin.on_outcome(epochs.1, fetch, None, now) {
-            self.origin.enter(self.rest(now), now);
+        // While all fetches fail, no answer reports a miss; errors of the origin count as failed fetches.
+        let fetch = if origin_error { Some(false) } else { fetched.then_some(ok.is_some()) };
+        if self.origin_breaker.on_outcome(epochs.1, fetch, None, now) {
+            self.origin_breaker.enter(self.origin_open_state(now), now);
             actions.push(Action::Log("breaker of the origin tripped".into()));
         }
-        // What was overdue has been counted already.
-        let known = held.attempts[outcome.attempt as usize].counted;
+        // Attempts that became overdue were counted then.
+        let already_counted = pending.attempts[outcome.attempt as usize].overdue_counted;
         let epoch = epochs.0;
-        let in_time = outcome.took <= self.due_within(&held.request);
-        let work = held.request.expected_work.map_or(0.0, |work| work.as_secs_f64());
-        self.usual_work += (work - self.usual_work) / 100.0;
+        let in_time = outcome.took <= self.late_after(&pending.request);
+        let work = pending.request.expected_work.map_or(0.0, |work| work.as_secs_f64());
+        self.average_work_s += (work - self.average_work_s) / 100.0;
         if work > 0.0 {
-            self.works = (self.works + 1.0).min(100.0);
-            self.mean_work += (work - self.mean_work) / self.works;
+            self.estimates = (self.estimates + 1.0).min(100.0);
+            self.mean_estimate_s += (work - self.mean_estimate_s) / self.estimates;
         }
-        let spare = outcome.load.utilization.is_some_and(|busy| busy < BUSY);
-        // Where nobody waits it is most often the work itself that takes long. One of many nodes cannot tell:
-        // it meets the server so seldom that the report is older than the bursts of the others.
-        let few = self.settings.nodes <= NODES_MEETING_OFTEN;
-        let unqueued = few && outcome.load.queue_length.is_some_and(|waiting| waiting < 1.0);
+        let underutilized = outcome.load.utilization.is_some_and(|busy| busy < HIGH_UTILIZATION);
+        // A slow answer from a server without a queue is usually due to the request's own work. Out of many
+        // nodes, each one calls a server so rarely that its report is older than the other nodes' bursts.
+        let few_nodes = self.settings.nodes <= MAX_NODES_FOR_QUEUE_REPORTS;
+        let unqueued = few_nodes && outcome.load.queue_length.is_some_and(|length| length < 1.0);
         if outcome.status == Status::Ok {
-            let slot = self.class_slot(&held.request);
-            self.usual[slot] += (outcome.took.as_secs_f64() - self.usual[slot]) / 20.0;
+            let class = self.class_index(&pending.request);
+            self.typical_latency_s[class] +=
+                (outcome.took.as_secs_f64() - self.typical_latency_s[class]) / 20.0;
         }
-        let par = held
+        let expected_s = pending
             .request
             .expected_work
-            .unwrap_or(self.class(&held.request).latency_target)
+            .unwrap_or(self.class(&pending.request).latency_target)
             .as_secs_f64()
             .max(1e-6);
         if let Ok(i) = self.servers.binary_search_by(|server| server.entry.id.cmp(&outcome.server)) {
-            let told = matches!(outcome.status, Status::Ok | Status::TimedOut) && !fetched && !impatient;
-            if told && self.warmth(&self.servers[i], now) >= 1.0 {
-                self.kinds[self.servers[i].kind].note(outcome.took.as_secs_f64() / par);
+            let shows_speed =
+                matches!(outcome.status, Status::Ok | Status::TimedOut) && !fetched && !gave_up_early;
+            if shows_speed && self.warmth(&self.servers[i], now) >= 1.0 {
+                self.kinds[self.servers[i].kind].record(outcome.took.as_secs_f64() / expected_s);
             }
             let (answered, failed) = (ok == Some(true), ok == Some(false));
-            let jammed = failed && matches!(outcome.status, Status::QueueFull | Status::TimedOut);
-            self.weigh(i, now, Signs { answered, in_time, jammed, known, spare, unqueued });
+            let overloaded = failed && matches!(outcome.status, Status::QueueFull | Status::TimedOut);
+            self.adjust_limit(
+                i,
+                now,
+                LoadSignals { answered, in_time, overloaded, already_counted, underutilized, unqueued },
+            );
             let server = &mut self.servers[i];
             server.in_flight = server.in_flight.saturating_sub(1);
-            server.tokens += unsent.map_or(0.0, |(_, work)| work);
-            // A handshake costs the server work, an idle connection only its place. Where the connections of
-            // all nodes would fill its table, one that is used too seldom gives its place up.
-            let part = SERVER_CONNECTIONS / f64::from(self.settings.nodes.max(1));
-            if server.in_flight == 0 && part < 1.0 && server.gap > self.settings.keepalive.mul_f64(part) {
+            server.tokens += unsent.map_or(0.0, |(_, tokens)| tokens);
+            // A handshake costs the server work, an idle connection only a table entry. If the connections of
+            // all nodes would fill its table, one that is rarely used is closed.
+            let share = MAX_IDLE_CONNECTIONS / f64::from(self.settings.nodes.max(1));
+            if server.in_flight == 0
+                && share < 1.0
+                && server.send_interval > self.settings.keepalive.mul_f64(share)
+            {
                 actions.push(Action::Close { server: server.entry.id.clone() });
             }
-            if let Some(ok) = ok.filter(|ok| *ok || !known) {
-                self.judge_zone(self.servers[i].zone, ok, now, actions);
+            if let Some(ok) = ok.filter(|ok| *ok || !already_counted) {
+                self.record_zone_outcome(self.servers[i].zone, ok, now, actions);
             }
-            self.judge(i, epoch, ok, now, actions);
+            self.record_server_outcome(i, epoch, ok, now, actions);
         }
-        self.retry_budget -= unsent.map_or(0.0, |(paid, _)| paid);
-        held.done |= outcome.finished;
-        self.decide(now, held, actions);
+        self.retry_budget -= unsent.map_or(0.0, |(deposit, _)| deposit);
+        pending.done |= outcome.finished;
+        self.dispatch(now, pending, actions);
     }
 
-    pub(super) fn decide(&mut self, now: Timestamp, held: Held, actions: &mut Vec<Action>) {
-        if held.outstanding() > 0 {
-            return self.keep(held);
+    /// Makes the next attempt of a request, lets it wait or ends it, unless an attempt is in flight.
+    pub(super) fn dispatch(&mut self, now: Timestamp, pending: PendingRequest, actions: &mut Vec<Action>) {
+        if pending.in_flight() > 0 {
+            return self.keep(pending);
         }
-        if held.done {
+        if pending.done {
             return;
         }
-        // Asking the origin after a miss is the ordinary way on, any other attempt a retry on a budget.
-        // What was not sent is not repeated.
-        let last = held.attempts.iter().rfind(|a| a.status != Some(Status::Ignored));
+        // Asking the origin after a miss is the normal course; any other further attempt is a retry and needs
+        // budget. An attempt that was never sent is not repeated by the next one.
+        let last = pending.attempts.iter().rfind(|a| a.status != Some(Status::Ignored));
         let retry = last.filter(|a| a.status != Some(Status::Miss));
-        let cost = retry.map_or(0.0, |last| self.retry_cost(now, &held.request, last));
+        let cost = retry.map_or(0.0, |last| self.retry_cost(now, &pending.request, last));
         let barred = self.retry_budget < cost;
-        let failed = retry.is_some_and(|last| last.status == Some(Status::Failed));
-        let barred = barred || failed && !self.fetches.admits(now);
-        let excess = held.attempts.is_empty() && self.refuses(held.luck);
-        // An origin with a queue longer than anyone waits serves nobody until likely misses leave it alone.
-        let kept = !held.request.write && self.keys.get(&key_of(&held.request)).is_some_and(|key| key.kept);
-        let ends = if excess {
+        let after_error = retry.is_some_and(|last| last.status == Some(Status::Failed));
+        let barred = barred || after_error && !self.error_retry_breaker.admits(now);
+        let excess = pending.attempts.is_empty() && self.should_shed(pending.random_draw);
+        // An origin whose queue is longer than any client waits serves nobody until likely misses stop.
+        let likely_hit =
+            !pending.request.write && self.keys.get(&key_of(&pending.request)).is_some_and(|key| key.cached);
+        let reason = if excess {
             Some(EndReason::Overload)
         } else if barred {
             Some(EndReason::RetryBudget)
-        } else if now >= held.request.valid_until {
+        } else if now >= pending.request.valid_until {
             Some(EndReason::OutOfTime)
-        } else if !(kept || self.origin.admits(now)) {
+        } else if !(likely_hit || self.origin_breaker.admits(now)) {
             Some(EndReason::OriginFailing)
         } else {
             None
         };
-        if let Some(reason) = ends {
-            return self.end(now, held, reason, actions);
+        if let Some(reason) = reason {
+            return self.end(now, pending, reason, actions);
         }
-        let Some(i) = self.pick(now, &held) else {
-            // A burst passes: without room a request waits, while thrice a usual answer would be in time.
-            let aim = self.class(&held.request).latency_target;
-            let usual = Duration::from_secs_f64(self.usual[self.class_slot(&held.request)]);
-            let again = now + aim.mul_f64(HOLD_STEP);
-            if held.attempts.is_empty()
-                && again + usual * 3 <= (held.arrived + aim).min(held.request.valid_until)
+        let Some(i) = self.pick_server(now, &pending) else {
+            // To absorb a burst, a request waits for a free server while there is time for three times the
+            // typical latency within its target.
+            let target = self.class(&pending.request).latency_target;
+            let typical = Duration::from_secs_f64(self.typical_latency_s[self.class_index(&pending.request)]);
+            let next_try = now + target.mul_f64(WAIT_STEP);
+            if pending.attempts.is_empty()
+                && next_try + typical * 3 <= (pending.arrived_at + target).min(pending.request.valid_until)
                 && self.servers.iter().any(|server| self.in_use(server))
             {
-                self.due.insert((again, held.request.id.clone()));
-                return self.keep(held);
+                self.timers.insert((next_try, pending.request.id.clone()));
+                return self.keep(pending);
             }
-            return self.end(now, held, EndReason::NoServer, actions);
+            return self.end(now, pending, EndReason::NoServer, actions);
         };
-        let paid = if retry.is_some() { -cost } else { RETRY_SHARE };
-        let paid = paid.min(RETRY_SAVED - self.retry_budget);
-        self.retry_budget += paid;
-        self.send(now, held, i, (kept, failed), paid, actions);
+        let deposit = if retry.is_some() { -cost } else { RETRY_DEPOSIT };
+        let deposit = deposit.min(MAX_RETRY_BUDGET - self.retry_budget);
+        self.retry_budget += deposit;
+        self.send(now, pending, i, (likely_hit, after_error), deposit, actions);
     }
 
     fn send(
         &mut self,
         now: Timestamp,
-        mut held: Held,
+        mut pending: PendingRequest,
         i: usize,
-        (kept, failed): (bool, bool),
-        paid: f64,
+        (likely_hit, after_error): (bool, bool),
+        deposit: f64,
         actions: &mut Vec<Action>,
     ) {
-        // A heavy one may take more than is there: its server gets that much less afterwards.
-        let work = self.in_mean_work(&held.request);
+        // A large request may overdraw the bucket: the server then gets that much less afterwards.
+        let tokens = self.relative_work(&pending.request);
         let server = &mut self.servers[i];
-        server.tokens -= work;
+        server.tokens -= tokens;
         server.in_flight += 1;
-        (server.sent, server.gap) = (now, now.since(server.sent));
+        (server.last_sent_at, server.send_interval) = (now, now.since(server.last_sent_at));
         if server.breaker.state != State::Closed {
-            self.zones[server.zone].tried = now;
+            self.zones[server.zone].last_trial_at = now;
         }
         server.breaker.on_send(now);
-        if !kept {
-            self.origin.on_send(now);
+        if !likely_hit {
+            self.origin_breaker.on_send(now);
         }
-        let skew = u32::from(kept && self.origin.state != State::Closed);
-        if failed {
-            self.fetches.on_send(now);
+        // A likely hit is no trial of the origin: an epoch of the past makes its breaker ignore the outcome.
+        let skew = u32::from(likely_hit && self.origin_breaker.state != State::Closed);
+        if after_error {
+            self.error_retry_breaker.on_send(now);
         }
-        let epochs = (server.breaker.epoch, self.origin.epoch.wrapping_sub(skew), self.fetches.epoch);
-        let (entry, overdue) = (server.entry.clone(), now + self.due_within(&held.request));
-        if overdue < held.request.valid_until {
-            self.due.insert((overdue, held.request.id.clone()));
+        let epochs = (
+            server.breaker.epoch,
+            self.origin_breaker.epoch.wrapping_sub(skew),
+            self.error_retry_breaker.epoch,
+        );
+        let (entry, overdue_at) = (server.entry.clone(), now + self.late_after(&pending.request));
+        if overdue_at < pending.request.valid_until {
+            self.timers.insert((overdue_at, pending.request.id.clone()));
         }
-        let until = self.repeatable_until(&held);
-        let start_within = (until < held.request.valid_until).then(|| until.since(now));
-        let (status, counted) = (None, false);
-        held.attempts.push(Attempt { entry, sent: now, epochs, status, overdue, counted, paid, work });
-        let timeout = held.request.valid_until.since(now);
-        let (id, server) = (held.request.id.clone(), self.servers[i].entry.id.clone());
+        let until = self.repeatable_until(&pending);
+        let start_within = (until < pending.request.valid_until).then(|| until.since(now));
+        let (status, overdue_counted) = (None, false);
+        pending.attempts.push(Attempt {
+            entry,
+            sent_at: now,
+            epochs,
+            status,
+            overdue_at,
+            overdue_counted,
+            deposit,
+            tokens,
+        });
+        let timeout = pending.request.valid_until.since(now);
+        let (id, server) = (pending.request.id.clone(), self.servers[i].entry.id.clone());
         actions.push(Action::Send { id, server, timeout, start_within });
-        self.keep(held);
+        self.keep(pending);
     }
 
-    pub(super) fn keep(&mut self, held: Held) {
-        self.held.insert(held.request.id.clone(), held);
+    pub(super) fn keep(&mut self, pending: PendingRequest) {
+        self.pending.insert(pending.request.id.clone(), pending);
     }
 
-    /// How long refused clients should stay away: until the origin's breaker lets its first trial through,
-    /// or shortly: the front deals a client that comes again to another node, which may have room.
+    /// How long refused clients should stay away: until the origin's breaker admits its first trial if it is
+    /// open, otherwise briefly, as a client that retries is routed to another node, which may have capacity.
     pub(super) fn retry_after(&self, now: Timestamp, request: &Request) -> Duration {
         let origin = self.servers.iter().find(|server| self.is_origin(&server.entry));
-        let advice = match origin.map_or(self.origin.state, |server| server.breaker.state) {
+        let delay = match origin.map_or(self.origin_breaker.state, |server| server.breaker.state) {
             State::Open { until } => until.since(now),
-            _ => self.class(request).latency_target.mul_f64(AWAY_STEP),
+            _ => self.class(request).latency_target.mul_f64(RETRY_AFTER_SHARE),
         };
-        advice.min(self.settings.max_retry_after)
+        delay.min(self.settings.max_retry_after)
     }
 
-    pub(super) fn end(&mut self, now: Timestamp, held: Held, reason: EndReason, actions: &mut Vec<Action>) {
-        let effect = self.class(&held.request).effect;
-        let scattered = matches!(effect, Effect::Keyed { scope: DedupScope::Zone | DedupScope::Cell, .. })
-            && held.may_have_run().next().is_some();
-        let retry_after = self.retry_after(now, &held.request);
-        // Its client comes again in its own time: no sooner than it is told to.
-        let again = now + retry_after < self.repeatable_until(&held);
-        if again && !scattered && now < held.request.valid_until {
-            let id = held.request.id;
+    /// Gives the final answer: refuses the request if its client may safely retry it, otherwise fails it.
+    pub(super) fn end(
+        &mut self,
+        now: Timestamp,
+        pending: PendingRequest,
+        reason: EndReason,
+        actions: &mut Vec<Action>,
+    ) {
+        let effect = self.class(&pending.request).effect;
+        // A client's retry may reach servers outside the scope that discards repeats.
+        let limited_scope =
+            matches!(effect, Effect::Keyed { scope: DedupScope::Zone | DedupScope::Cell, .. })
+                && pending.may_have_run().next().is_some();
+        let retry_after = self.retry_after(now, &pending.request);
+        // The client retries at a time of its own choice, but not before the delay that it is given.
+        let repeatable = now + retry_after < self.repeatable_until(&pending);
+        if repeatable && !limited_scope && now < pending.request.valid_until {
+            let id = pending.request.id;
             actions.push(Action::Refuse { id, retry_after, reason });
         } else {
-            actions.push(Action::Fail { id: held.request.id, reason });
+            actions.push(Action::Fail { id: pending.request.id, reason });
         }
     }
 }
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -1,197 +1,208 @@
-//! The servers as discovery lists them: their capacity, warmth and pace, and their breakers' verdicts.
+//! The servers as listed by discovery: capacity, slow start, speed, and the outcomes for their breakers.
 
 use super::breaker::{Breaker, State, COMMON_RATE, COOLDOWN, MIN_CALLS};
-use super::hash::{hash_text, mix, unit};
+use super::hash::{hash_str, mix, unit_interval};
 use super::zones::Zone;
 use super::Balancer;
 use crate::api::{Action, Availability, CacheMode, Name, ServerEntry, ServerId, Timestamp};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Answers over which the pace of a kind of server is averaged, and how many at par it starts with.
-const PACE_SPAN: f64 = 200.0;
-const PACE_PRIOR: f64 = 10.0;
-/// Time over which weights that change with load are averaged, the most of it that a single list stands for,
-/// and what a weight counts at least, as a part of the largest.
-const WEIGHT_SPAN: Duration = Duration::from_secs(4);
-const WEIGHT_STEP: Duration = Duration::from_secs(1);
-const WEIGHT_LEAST: f64 = 0.01;
+/// Number of answers over which the speed of a server kind is averaged, and the number of answers at exactly
+/// the expected time that it starts with.
+const SPEED_ANSWERS: f64 = 200.0;
+const SPEED_PRIOR_ANSWERS: f64 = 10.0;
+/// Time over which weights that vary with load are averaged, the maximum time that a single list stands for,
+/// and the minimum of a weight as a share of the largest.
+const WEIGHT_WINDOW: Duration = Duration::from_secs(4);
+const MAX_WEIGHT_STEP: Duration = Duration::from_secs(1);
+const MIN_WEIGHT_SHARE: f64 = 0.01;
 
-/// What the node's own clock says of a server's start.
+/// When a server started, by this node's own clock.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct StartSeen {
-    /// When a list first told of it.
-    first: Timestamp,
-    /// How long before that it may have been unseen: since the list before.
-    unseen: Duration,
+pub(super) struct ObservedStart {
+    /// When a list first contained this start.
+    first_seen: Timestamp,
+    /// How much earlier it may have been: the time since the previous list.
+    uncertainty: Duration,
 }
 
-/// Starts of servers that have left the list, of which so many are remembered: one that comes back with the
-/// start that it had is no new one.
-pub(super) const DEPARTED_KNOWN: usize = 4096;
+/// Number of servers for which the start is kept after they left the list: a server that returns with the
+/// same start has not restarted.
+pub(super) const MAX_REMOVED_SERVERS: usize = 4096;
 
 #[derive(Debug)]
 pub(super) struct Server {
     pub(super) entry: ServerEntry,
-    pub(super) start: StartSeen,
-    /// What its weight is cut by, the requests that it holds: the inverse of the weight, over `WEIGHT_SPAN`.
-    pub(super) load: f64,
+    pub(super) start: ObservedStart,
+    /// Inverse of its weight, averaged over `WEIGHT_WINDOW`. It is proportional to the requests in the
+    /// server, which reduce the weight.
+    pub(super) inverse_weight: f64,
     pub(super) kind: usize,
     pub(super) zone: usize,
     pub(super) hash: u64,
     pub(super) breaker: Breaker,
-    /// Slow start: its token bucket while it is cold, the work that it may get from here, in usual requests.
+    /// Token bucket for slow start: the work that this node may send while the server is cold, in requests of
+    /// mean work.
     pub(super) tokens: f64,
-    /// The most that one request may be of them.
-    pub(super) heaviest: f64,
+    /// Maximum number of tokens for a single request.
+    pub(super) max_request_tokens: f64,
     pub(super) in_flight: u32,
     pub(super) limit: f64,
-    /// When an answer last changed it.
-    pub(super) limited: Timestamp,
-    /// Its last report told of room: what takes long there is the work itself.
-    pub(super) calm: bool,
-    /// When it was last sent to, and how long after the send before.
-    pub(super) sent: Timestamp,
-    pub(super) gap: Duration,
+    pub(super) limit_changed_at: Timestamp,
+    /// Its last report showed spare capacity, so a slow answer is due to the request's own work.
+    pub(super) has_spare_capacity: bool,
+    /// When a request was last sent to it, and how long after the one before.
+    pub(super) last_sent_at: Timestamp,
+    pub(super) send_interval: Duration,
 }
 
 impl Server {
-    /// How long ago it started; `None` for long ago. Discovery tells starts by the wall clock, which may be
-    /// stepped on any machine. The node's own clock runs evenly and bounds what is believed: a server that is
-    /// on the list for a minute is a minute old, and a start that the list before did not have is no older
+    /// Time since its start; `None` if that was long ago. Discovery gives starts by the wall clock, which may
+    /// be stepped on any machine, so the node's own monotonic clock bounds them: a server that has been
+    /// listed for a minute is at least a minute old, and a start that the previous list lacked is no older
     /// than that list.
     fn age(&self, now: Timestamp) -> Option<Duration> {
-        let told = now.since(self.entry.started?);
-        let seen = now.since(self.start.first);
-        Some(told.clamp(seen, seen.saturating_add(self.start.unseen)))
+        let reported = now.since(self.entry.started?);
+        let listed_for = now.since(self.start.first_seen);
+        Some(reported.clamp(listed_for, listed_for.saturating_add(self.start.uncertainty)))
     }
 }
 
-/// What answers of a kind of server take against their forecast work: a logarithm, so that no few decide.
+/// How the latency of a kind of server compares to the expected work. The average is of logarithms, so that a
+/// few extreme answers do not dominate it.
 #[derive(Debug)]
-pub(super) struct Kind {
+pub(super) struct ServerKind {
     pub(super) name: Option<Name>,
-    pub(super) pace: f64,
+    pub(super) log_slowness: f64,
     pub(super) answers: f64,
 }
 
-impl Kind {
-    /// Takes in an answer that took so many times what was forecast.
-    pub(super) fn note(&mut self, ratio: f64) {
-        self.answers = (self.answers + 1.0).min(PACE_SPAN);
-        self.pace += (ratio.max(1e-3).ln() - self.pace) / self.answers;
+impl ServerKind {
+    /// Records an answer that took `ratio` times as long as expected.
+    pub(super) fn record(&mut self, ratio: f64) {
+        self.answers = (self.answers + 1.0).min(SPEED_ANSWERS);
+        self.log_slowness += (ratio.max(1e-3).ln() - self.log_slowness) / self.answers;
     }
 }
 
-/// The start of each server that has left the list, as it was told and as it was seen.
-pub(super) type Departed = HashMap<ServerId, (Option<Timestamp>, StartSeen)>;
+/// The start of each server that has left the list, as reported by discovery and as observed by this node.
+pub(super) type RemovedServers = HashMap<ServerId, (Option<Timestamp>, ObservedStart)>;
 
-fn remember(departed: &mut Departed, server: Server) {
-    if departed.len() >= DEPARTED_KNOWN {
-        departed.clear();
+fn remember_start(removed: &mut RemovedServers, server: Server) {
+    if removed.len() >= MAX_REMOVED_SERVERS {
+        removed.clear();
     }
-    departed.insert(server.entry.id, (server.entry.started, server.start));
+    removed.insert(server.entry.id, (server.entry.started, server.start));
 }
 
 impl Balancer {
-    /// Takes in a list of discovery's.
-    pub(super) fn hear(&mut self, now: Timestamp, entries: &[ServerEntry], full: bool) {
-        self.learn(now, entries, full);
-        self.heard = Some(now);
+    /// Applies a list that came from discovery.
+    pub(super) fn apply_discovery_list(&mut self, now: Timestamp, entries: &[ServerEntry], full: bool) {
+        self.apply_list(now, entries, full);
+        self.discovery_list_at = Some(now);
     }
 
-    pub(super) fn learn(&mut self, now: Timestamp, entries: &[ServerEntry], full: bool) {
-        let newest = match self.settings.nominal_weights {
+    pub(super) fn apply_list(&mut self, now: Timestamp, entries: &[ServerEntry], full: bool) {
+        let weight_step = match self.settings.nominal_weights {
             true => 1.0,
             false => {
-                1.0 - (-now.since(self.listed).min(WEIGHT_STEP).as_secs_f64() / WEIGHT_SPAN.as_secs_f64())
-                    .exp()
+                1.0 - (-now.since(self.list_applied_at).min(MAX_WEIGHT_STEP).as_secs_f64()
+                    / WEIGHT_WINDOW.as_secs_f64())
+                .exp()
             }
         };
-        self.listed = now;
-        let unseen = self.heard.map_or(Duration::MAX, |heard| now.since(heard));
-        let seen_now = StartSeen { first: now, unseen };
+        self.list_applied_at = now;
+        let uncertainty = self.discovery_list_at.map_or(Duration::MAX, |at| now.since(at));
+        let observed_now = ObservedStart { first_seen: now, uncertainty };
         if full {
-            // Looked up only, never walked: its order differs from run to run.
+            // Never iterated, since the order of a hash set differs between runs.
             let listed: HashSet<&ServerId> = entries.iter().map(|entry| &entry.id).collect();
-            let left = self.servers.extract_if(.., |server| !listed.contains(&server.entry.id));
-            left.for_each(|server| remember(&mut self.departed, server));
+            let removed = self.servers.extract_if(.., |server| !listed.contains(&server.entry.id));
+            removed.for_each(|server| remember_start(&mut self.removed_servers, server));
         }
         for entry in entries {
-            let place = self.servers.binary_search_by(|server| server.entry.id.cmp(&entry.id));
-            match place {
+            let position = self.servers.binary_search_by(|server| server.entry.id.cmp(&entry.id));
+            match position {
                 Ok(i) if entry.availability == Availability::Removed => {
-                    remember(&mut self.departed, self.servers.remove(i));
+                    remember_start(&mut self.removed_servers, self.servers.remove(i));
                 }
                 Ok(i) => {
                     if entry.started != self.servers[i].entry.started {
                         self.servers[i].breaker.enter(State::Closed, now);
-                        self.servers[i].tokens = unit(mix(self.seed ^ self.servers[i].hash));
+                        self.servers[i].tokens = unit_interval(mix(self.seed ^ self.servers[i].hash));
                         let zone = &mut self.zones[self.servers[i].zone];
-                        (zone.shut, zone.calls) = (false, 0);
-                        self.servers[i].start = seen_now;
+                        (zone.down, zone.calls) = (false, 0);
+                        self.servers[i].start = observed_now;
                     }
                     self.servers[i].entry = entry.clone();
                 }
                 Err(_) if entry.availability == Availability::Removed => {}
                 Err(i) => {
-                    let hash = mix(hash_text(entry.id.as_str()));
+                    let hash = mix(hash_str(entry.id.as_str()));
                     let kind = self.kinds.iter().position(|kind| kind.name == entry.kind);
                     let kind = kind.unwrap_or_else(|| {
-                        self.kinds.push(Kind { name: entry.kind.clone(), pace: 0.0, answers: PACE_PRIOR });
+                        self.kinds.push(ServerKind {
+                            name: entry.kind.clone(),
+                            log_slowness: 0.0,
+                            answers: SPEED_PRIOR_ANSWERS,
+                        });
                         self.kinds.len() - 1
                     });
-                    // The origin fares otherwise than the cache servers beside it.
+                    // The origin does not count towards the zone of the cache servers beside it.
                     let name = entry.zone.clone().filter(|_| !self.is_origin(entry));
                     let zone = self.zones.iter().position(|zone| zone.name == name);
                     let zone = zone.unwrap_or_else(|| {
-                        let heard = now;
+                        let last_outcome_at = now;
                         self.zones.push(Zone {
                             name,
                             calls: 0,
-                            failing: 0.0,
-                            heard,
-                            shut: false,
-                            tried: heard,
+                            failure_rate: 0.0,
+                            last_outcome_at,
+                            down: false,
+                            last_trial_at: last_outcome_at,
                         });
                         self.zones.len() - 1
                     });
-                    let (entry, breaker, gap) = (entry.clone(), Breaker::new(now), Duration::MAX);
-                    let (in_flight, limit, calm, sent) = (0, self.limit_start, false, now);
-                    // Not a whole send: many nodes would use it at once.
-                    let (tokens, heaviest) = (unit(mix(self.seed ^ hash)), 1.0);
-                    let limited = now;
-                    let load = 0.0;
-                    let before = self.departed.remove(&entry.id);
-                    let start = before.filter(|(started, _)| *started == entry.started);
-                    let start = start.map_or(seen_now, |(_, start)| start);
-                    let fresh = Server {
+                    let (entry, breaker, send_interval) = (entry.clone(), Breaker::new(now), Duration::MAX);
+                    let (in_flight, limit, has_spare_capacity, last_sent_at) =
+                        (0, self.initial_limit, false, now);
+                    // Less than a whole token, since many nodes would use it at the same time.
+                    let (tokens, max_request_tokens) = (unit_interval(mix(self.seed ^ hash)), 1.0);
+                    let limit_changed_at = now;
+                    let inverse_weight = 0.0;
+                    let removed = self.removed_servers.remove(&entry.id);
+                    let start = removed.filter(|(started, _)| *started == entry.started);
+                    let start = start.map_or(observed_now, |(_, start)| start);
+                    let server = Server {
                         entry,
                         start,
-                        load,
+                        inverse_weight,
                         kind,
                         zone,
                         hash,
                         breaker,
                         tokens,
-                        heaviest,
+                        max_request_tokens,
                         in_flight,
                         limit,
-                        limited,
-                        calm,
-                        sent,
-                        gap,
+                        limit_changed_at,
+                        has_spare_capacity,
+                        last_sent_at,
+                        send_interval,
                     };
-                    self.servers.insert(i, fresh);
+                    self.servers.insert(i, server);
                 }
             }
         }
-        // A live weight shows the few requests held at one moment. All nodes are told the same: taken as it
-        // comes, each list moves keys to and fro at all of them in step, and each move is a miss.
+        // A weight that varies with load reflects the few requests in the server at one moment, and all nodes
+        // get the same value. Without averaging, each list would move keys back and forth at all nodes at
+        // once, and each move causes a miss.
         let largest = self.servers.iter().map(|server| server.entry.weight).fold(f64::MIN_POSITIVE, f64::max);
         for server in &mut self.servers {
-            let told = 1.0 / server.entry.weight.max(largest * WEIGHT_LEAST);
-            server.load += (told - server.load) * if server.load > 0.0 { newest } else { 1.0 };
+            let listed = 1.0 / server.entry.weight.max(largest * MIN_WEIGHT_SHARE);
+            server.inverse_weight += (listed - server.inverse_weight)
+                * if server.inverse_weight > 0.0 { weight_step } else { 1.0 };
         }
     }
 
@@ -200,16 +211,18 @@
         entry.kind.as_ref() == Some(origin_kind)
     }
 
+    /// The share of its full capacity that a server has in slow start; 1 once it is warm.
     pub(super) fn warmth(&self, server: &Server, now: Timestamp) -> f64 {
-        let warm = self.settings.warm_within.as_secs_f64().max(1e-6);
-        let age = server.age(now).map_or(warm, |age| age.as_secs_f64());
-        let cold = self.settings.cold_share;
-        (cold + (1.0 - cold) * age / warm).min(1.0)
+        let warm_within = self.settings.warm_within.as_secs_f64().max(1e-6);
+        let age = server.age(now).map_or(warm_within, |age| age.as_secs_f64());
+        let cold_share = self.settings.cold_share;
+        (cold_share + (1.0 - cold_share) * age / warm_within).min(1.0)
     }
 
     pub(super) fn capacity(&self, server: &Server, now: Timestamp) -> f64 {
-        let speed = if self.settings.nominal_weights { 1.0 } else { (-self.kinds[server.kind].pace).exp() };
-        (speed / server.load * self.warmth(server, now)).max(1e-9)
+        let speed =
+            if self.settings.nominal_weights { 1.0 } else { (-self.kinds[server.kind].log_slowness).exp() };
+        (speed / server.inverse_weight * self.warmth(server, now)).max(1e-9)
     }
 
     pub(super) fn is_cold(&self, server: &Server, now: Timestamp) -> bool {
@@ -220,7 +233,8 @@
         server.entry.availability == Availability::Ready && !self.is_origin(&server.entry)
     }
 
-    /// Many servers failing together have a common cause: ejecting them would push their keys onto the rest.
+    /// Whether a server fails while the others, taken together, do not. If many servers fail together, the
+    /// cause is a common one, and ejecting them would move their keys to the remaining servers.
     pub(super) fn is_outlier(&self, i: usize, now: Timestamp) -> bool {
         let others = self.servers.iter().filter(|other| other.hash != self.servers[i].hash);
         let recent = others.map(|other| &other.breaker).filter(|breaker| now < breaker.window_ends);
@@ -228,8 +242,8 @@
         calls < MIN_CALLS || f64::from(failed) < COMMON_RATE * f64::from(calls)
     }
 
-    /// Counts an outcome for the server's breaker and opens it where it trips.
-    pub(super) fn judge(
+    /// Records an outcome for the server's breaker and opens the breaker if it trips.
+    pub(super) fn record_server_outcome(
         &mut self,
         i: usize,
         epoch: u32,
@@ -238,10 +252,10 @@
         actions: &mut Vec<Action>,
     ) {
         let z = self.servers[i].zone;
-        let apart = self.apart(z, now);
-        let others = self.zones[z].rate(now).filter(|rate| apart || *rate < COMMON_RATE);
-        let tripped = self.servers[i].breaker.on_outcome(epoch, ok, others, now);
-        if tripped && (apart || self.is_outlier(i, now)) {
+        let other_healthy = self.other_zone_healthy(z, now);
+        let zone_rate = self.zones[z].recent_rate(now).filter(|rate| other_healthy || *rate < COMMON_RATE);
+        let tripped = self.servers[i].breaker.on_outcome(epoch, ok, zone_rate, now);
+        if tripped && (other_healthy || self.is_outlier(i, now)) {
             self.servers[i].breaker.enter(State::Open { until: now + COOLDOWN }, now);
             actions.push(Action::Log(format!("breaker of {} tripped", self.servers[i].entry.id)));
         }
--- a/src/policy/subscription/tests.rs
+++ b/src/policy/subscription/tests.rs
@@ -12,116 +12,116 @@
 }
 
 #[test]
-fn an_answered_call_is_followed_at_once_and_by_one_call() {
+fn an_answered_call_is_followed_by_exactly_one_call_at_once() {
     let (mut subscription, start) = subscription(Delivery::Polled);
     let call = begin(&mut subscription, start);
-    assert_eq!(subscription.begin(start + LONG_POLL_WAIT), None, "one is out");
-    let verdict = subscription.answered(call, 8, start + LONG_POLL_WAIT);
-    assert_eq!(verdict, AnswerOutcome { accepted: true, obsolete: Vec::new(), failures: 0 });
+    assert_eq!(subscription.begin(start + LONG_POLL_WAIT), None, "one call is outstanding");
+    let outcome = subscription.answered(call, 8, start + LONG_POLL_WAIT);
+    assert_eq!(outcome, AnswerOutcome { accepted: true, obsolete: Vec::new(), failures: 0 });
     assert_eq!(subscription.begin(start + LONG_POLL_WAIT).unwrap().after_version, Some(8));
     assert_eq!(subscription.begin(start + LONG_POLL_WAIT), None);
 }
 
-// Guards against the incident of 2026-12-02: a pause behind a call that had taken far longer than the pause.
+// Guards against the failure of 2026-12-02: a retry delay after a call that had itself taken far longer than the delay.
 #[test]
-fn a_call_that_took_longer_than_the_pause_is_followed_at_once() {
+fn a_failed_call_that_took_longer_than_the_retry_delay_is_followed_at_once() {
     for delivery in [Delivery::Pushed, Delivery::Polled] {
         let (mut subscription, start) = subscription(delivery);
         let call = begin(&mut subscription, start);
-        let given_up = start + CALL_TIMEOUT;
-        // The one that began beside it while it was overdue has failed as well.
+        let timed_out_at = start + CALL_TIMEOUT;
+        // The call that started beside it while it was overdue has failed as well.
         let second = begin(&mut subscription, start + LONG_POLL_WAIT + OVERDUE_AFTER);
         subscription.failed(second);
         subscription.failed(call);
-        assert!(subscription.due_at() <= given_up, "{delivery:?}");
+        assert!(subscription.due_at() <= timed_out_at, "{delivery:?}");
     }
 }
 
 #[test]
-fn an_overdue_call_has_another_beside_it_and_never_more_than_its_limit_bears() {
+fn an_overdue_call_is_joined_by_another_within_the_limit_on_calls() {
     let (mut subscription, start) = subscription(Delivery::Pushed);
-    let mut begun = Vec::new();
-    let mut most = 0;
+    let mut started = Vec::new();
+    let mut max = 0;
     for ms in 0..60_000 {
         let now = start + MS * ms;
         if let Some(call) = subscription.begin(now) {
-            begun.push((call.id, now));
+            started.push((call.id, now));
         }
-        begun.retain(|(id, began)| {
-            let ended = now >= *began + CALL_TIMEOUT;
+        started.retain(|(id, started_at)| {
+            let ended = now >= *started_at + CALL_TIMEOUT;
             if ended {
                 subscription.failed(*id);
             }
             !ended
         });
-        assert!(!begun.is_empty(), "nobody watches after {ms} ms");
-        let newest = begun.last().unwrap().1;
+        assert!(!started.is_empty(), "no call is outstanding after {ms} ms");
+        let newest = started.last().unwrap().1;
         assert!(
             now < newest + LONG_POLL_WAIT + OVERDUE_AFTER + MS,
             "the newest call is overdue after {ms} ms"
         );
-        most = most.max(begun.len());
+        max = max.max(started.len());
     }
-    assert_eq!(most, 3);
+    assert_eq!(max, 3);
 }
 
-/// The times at which calls begin that fail at once, within so long.
-fn begun_while_failing(delivery: Delivery, within: Duration) -> Vec<Duration> {
+/// When calls start that fail immediately, within this period.
+fn start_times_of_failing_calls(delivery: Delivery, within: Duration) -> Vec<Duration> {
     let (mut subscription, start) = subscription(delivery);
-    let mut begun = Vec::new();
+    let mut started = Vec::new();
     loop {
         let due = subscription.due_at();
         if due >= start + within {
-            return begun;
+            return started;
         }
         let call = begin(&mut subscription, due);
         subscription.failed(call);
-        begun.push(due - start);
+        started.push(due - start);
     }
 }
 
-// What the agent has counts as told at once: of 250 ms of grace a hold-up takes 150.
+// What the agent has counts as notified at once, and a stall may take 150 ms of the grace period of 250 ms.
 #[test]
-fn an_agent_that_fails_at_once_is_called_again_within_100_ms_for_as_long_as_it_fails() {
-    let begun = begun_while_failing(Delivery::Pushed, Duration::from_secs(60));
-    let apart: Vec<_> = begun.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert!(apart.iter().all(|apart| *apart <= 100 * MS && *apart >= 20 * MS), "{:?}", apart.iter().max());
+fn an_agent_that_fails_immediately_is_always_called_again_within_100_ms() {
+    let started = start_times_of_failing_calls(Delivery::Pushed, Duration::from_secs(60));
+    let gaps: Vec<_> = started.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(gaps.iter().all(|gap| *gap <= 100 * MS && *gap >= 20 * MS), "{:?}", gaps.iter().max());
     assert!(MAX_AGENT_RECONNECT <= 100 * MS);
 }
 
 #[test]
-fn a_service_that_fails_at_once_is_spared_and_nodes_come_apart() {
-    let begun = begun_while_failing(Delivery::Polled, Duration::from_secs(60));
-    let apart: Vec<_> = begun.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    let (least, most) = (RESUBSCRIBE_DELAY + 100 * MS, RESUBSCRIBE_DELAY + 600 * MS);
-    assert!(apart.iter().all(|apart| (least..=most).contains(apart)), "{apart:?}");
+fn a_service_that_fails_immediately_is_called_with_backoff_and_jitter() {
+    let started = start_times_of_failing_calls(Delivery::Polled, Duration::from_secs(60));
+    let gaps: Vec<_> = started.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    let (min, max) = (RESUBSCRIBE_DELAY + 100 * MS, RESUBSCRIBE_DELAY + 600 * MS);
+    assert!(gaps.iter().all(|gap| (min..=max).contains(gap)), "{gaps:?}");
     let other = Subscription::new(Delivery::Polled, None, 2, Instant::now());
     assert_ne!(other.random.clone().f64(), subscription(Delivery::Polled).0.random.f64());
 }
 
 #[test]
-fn no_backoff_grows_past_what_the_greatest_time_is_made_of() {
+fn backoff_stays_within_its_bounds_for_any_number_of_failures() {
     for failures in [0, 1, 2, 3, 9, 10, 1_000, u32::MAX] {
-        let most = backoff(failures).mul_f64(1.5);
-        assert!(most <= BACKOFF_MOST.mul_f64(1.5) && most >= BACKOFF, "{failures}: {most:?}");
+        let max = backoff(failures).mul_f64(1.5);
+        assert!(max <= MAX_BACKOFF.mul_f64(1.5) && max >= INITIAL_BACKOFF, "{failures}: {max:?}");
     }
     assert!(backoff(1) < backoff(u32::MAX));
 }
 
-// The page's own words: told 6 s after discovery had it and could be reached. Two seconds and more are left for a node
-// that is behind and for a discovery that is slow.
+// A change counts as notified 6 s after discovery has it and can be reached. More than 2 s of that are left for a slow
+// node and a slow discovery.
 #[test]
-fn the_greatest_time_until_a_change_is_heard_is_well_under_what_counts_as_told() {
+fn the_maximum_notification_delay_is_well_below_the_required_one() {
     let overdue = LONG_POLL_WAIT + OVERDUE_AFTER;
-    let paused = RESUBSCRIBE_DELAY + BACKOFF_MOST * 3 / 2;
-    assert_eq!(MAX_NOTIFICATION_DELAY, overdue.max(paused) + CONNECT_POLLED + OVERDUE_AFTER);
+    let retry_delay = RESUBSCRIBE_DELAY + MAX_BACKOFF * 3 / 2;
+    assert_eq!(MAX_NOTIFICATION_DELAY, overdue.max(retry_delay) + SERVICE_CONNECT_TIMEOUT + OVERDUE_AFTER);
     assert!(MAX_NOTIFICATION_DELAY <= 3_800 * MS, "{MAX_NOTIFICATION_DELAY:?}");
 }
 
-/// When calls begin that all are lost, or that all fail at once.
-fn begun_in_vain(delivery: Delivery, lost: bool, within: Duration) -> Vec<Duration> {
+/// When calls start if all of them are lost, or if all of them fail immediately.
+fn start_times_of_unsuccessful_calls(delivery: Delivery, lost: bool, within: Duration) -> Vec<Duration> {
     if !lost {
-        return begun_while_failing(delivery, within);
+        return start_times_of_failing_calls(delivery, within);
     }
     let (mut subscription, start) = subscription(delivery);
     let due = std::iter::from_fn(|| {
@@ -132,40 +132,40 @@
     due.take_while(|due| *due < within).collect()
 }
 
-// A change comes at any moment; calls that began before it are lost or have failed, the next one is answered within the
-// time that a connection and an answer may take.
+// A change comes at any moment: calls that started before it are lost or fail, and the next one is answered within the
+// time allowed for a connection and an answer.
 #[test]
-fn a_change_after_any_lost_or_failed_call_is_heard_within_the_stated_time() {
+fn a_change_is_received_within_the_maximum_delay_after_lost_or_failed_calls() {
     for (delivery, lost) in
         [Delivery::Pushed, Delivery::Polled].into_iter().flat_map(|d| [(d, true), (d, false)])
     {
-        let begun = begun_in_vain(delivery, lost, Duration::from_secs(30));
+        let started = start_times_of_unsuccessful_calls(delivery, lost, Duration::from_secs(30));
         for change in (0..20_000).map(|ms| MS * ms) {
-            let next = begun.iter().find(|began| **began >= change).expect("a later call");
-            let heard = *next - change + CONNECT_POLLED + OVERDUE_AFTER;
+            let next = started.iter().find(|started_at| **started_at >= change).expect("a later call");
+            let received_after = *next - change + SERVICE_CONNECT_TIMEOUT + OVERDUE_AFTER;
             assert!(
-                heard <= MAX_NOTIFICATION_DELAY,
-                "{delivery:?}, lost {lost}, change at {change:?}: {heard:?}"
+                received_after <= MAX_NOTIFICATION_DELAY,
+                "{delivery:?}, lost {lost}, change at {change:?}: {received_after:?}"
             );
         }
     }
 }
 
 #[test]
-fn an_answer_that_was_overtaken_counts_only_where_it_is_newer() {
+fn an_overtaken_answer_is_accepted_only_if_its_version_is_newer() {
     let (mut subscription, start) = subscription(Delivery::Pushed);
-    let late = begin(&mut subscription, start);
-    let early = begin(&mut subscription, start + LONG_POLL_WAIT + OVERDUE_AFTER);
-    let verdict = subscription.answered(early, 9, start + LONG_POLL_WAIT + OVERDUE_AFTER);
-    assert_eq!(verdict.obsolete, [late], "the older one is given up");
-    assert!(!subscription.answered(late, 8, start + CALL_TIMEOUT).accepted, "older");
-    assert!(!subscription.answered(late, 9, start + CALL_TIMEOUT).accepted, "the same");
-    assert!(subscription.answered(late, 10, start + CALL_TIMEOUT).accepted, "newer");
+    let older = begin(&mut subscription, start);
+    let newer = begin(&mut subscription, start + LONG_POLL_WAIT + OVERDUE_AFTER);
+    let outcome = subscription.answered(newer, 9, start + LONG_POLL_WAIT + OVERDUE_AFTER);
+    assert_eq!(outcome.obsolete, [older], "the older call is cancelled");
+    assert!(!subscription.answered(older, 8, start + CALL_TIMEOUT).accepted, "older version");
+    assert!(!subscription.answered(older, 9, start + CALL_TIMEOUT).accepted, "same version");
+    assert!(subscription.answered(older, 10, start + CALL_TIMEOUT).accepted, "newer version");
 }
 
-// Discovery that was started anew may count its versions from the beginning.
+// A discovery that restarted may number its versions from the beginning.
 #[test]
-fn the_latest_answer_counts_whatever_its_version() {
+fn the_answer_to_the_latest_call_is_accepted_whatever_its_version() {
     let (mut subscription, start) = subscription(Delivery::Pushed);
     let call = begin(&mut subscription, start);
     assert!(subscription.answered(call, 2, start).accepted);
@@ -173,66 +173,66 @@
 }
 
 #[test]
-fn an_older_answer_leaves_the_newer_call_out() {
+fn an_answer_to_an_older_call_keeps_the_newer_call_outstanding() {
     let (mut subscription, start) = subscription(Delivery::Polled);
     let slow = begin(&mut subscription, start);
-    let second_began = start + LONG_POLL_WAIT + OVERDUE_AFTER;
-    let second = begin(&mut subscription, second_began);
-    let verdict = subscription.answered(slow, 8, second_began + 500 * MS);
-    assert!(verdict.accepted && verdict.obsolete.is_empty());
-    assert_eq!(subscription.begin(second_began + 500 * MS), None, "the second one watches");
-    assert!(subscription.answered(second, 9, second_began + 600 * MS).accepted);
+    let second_started_at = start + LONG_POLL_WAIT + OVERDUE_AFTER;
+    let second = begin(&mut subscription, second_started_at);
+    let outcome = subscription.answered(slow, 8, second_started_at + 500 * MS);
+    assert!(outcome.accepted && outcome.obsolete.is_empty());
+    assert_eq!(subscription.begin(second_started_at + 500 * MS), None, "the second call is outstanding");
+    assert!(subscription.answered(second, 9, second_started_at + 600 * MS).accepted);
 }
 
 #[test]
-fn a_move_asks_for_the_whole_list_at_once_whatever_failed() {
+fn an_endpoint_change_asks_for_the_full_list_at_once_after_failures() {
     let (mut subscription, start) = subscription(Delivery::Polled);
     let call = begin(&mut subscription, start);
     subscription.failed(call);
     assert_eq!(subscription.begin(start), None);
     subscription.endpoint_changed(start);
     assert_eq!(subscription.begin(start).unwrap().after_version, None);
-    assert_eq!(subscription.failed(call), 0, "a call that is void has no say");
+    assert_eq!(subscription.failed(call), 0, "a discarded call changes nothing");
 }
 
 #[test]
-fn half_an_answer_of_an_agent_is_followed_by_another_call_and_never_by_many() {
+fn an_incomplete_agent_answer_is_followed_by_another_call_at_a_bounded_rate() {
     let (mut subscription, start) = subscription(Delivery::Pushed);
-    let (mut now, mut begun) = (start, Vec::new());
+    let (mut now, mut started) = (start, Vec::new());
     let mut replaced = 0;
     while now < start + Duration::from_secs(60) {
         let call = subscription.begin(now).expect("a call is due");
         replaced += usize::from(call.replaces.is_some());
         subscription.answer_started(call.id, now);
-        begun.push(now - start);
-        assert!(subscription.outstanding.len() <= MOST_OUT);
+        started.push(now - start);
+        assert!(subscription.outstanding.len() <= MAX_OUTSTANDING_CALLS);
         now = subscription.due_at();
     }
-    assert!(begun[1] <= 100 * MS, "the first half answer: {:?}", begun[1]);
-    let apart: Vec<_> = begun.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert!(apart.iter().all(|apart| *apart <= LONG_POLL_WAIT + OVERDUE_AFTER), "{apart:?}");
-    assert!(begun[8] <= Duration::from_secs(4), "an outage of some seconds: {:?}", begun[8]);
-    assert!(begun.len() <= 60, "{} calls within a minute", begun.len());
-    assert_eq!(replaced, begun.len() - MOST_OUT);
+    assert!(started[1] <= 100 * MS, "after the first incomplete answer: {:?}", started[1]);
+    let gaps: Vec<_> = started.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(gaps.iter().all(|gap| *gap <= LONG_POLL_WAIT + OVERDUE_AFTER), "{gaps:?}");
+    assert!(started[8] <= Duration::from_secs(4), "an outage of several seconds: {:?}", started[8]);
+    assert!(started.len() <= 60, "{} calls within a minute", started.len());
+    assert_eq!(replaced, started.len() - MAX_OUTSTANDING_CALLS);
 }
 
-// A list that takes a second to come whole is not begun anew until it is.
+// Further calls do not cancel a call whose list takes a second to arrive before it is complete.
 #[test]
-fn a_list_that_comes_slowly_comes_whole() {
-    const TAKES: Duration = Duration::from_secs(1);
+fn a_list_that_arrives_slowly_is_received_completely() {
+    const DURATION: Duration = Duration::from_secs(1);
     let (mut subscription, start) = subscription(Delivery::Pushed);
-    let mut out: Vec<(CallId, Instant)> = Vec::new();
+    let mut outstanding: Vec<(CallId, Instant)> = Vec::new();
     for ms in 0..20_000 {
         let now = start + MS * ms;
         if let Some(call) = subscription.begin(now) {
-            out.retain(|(id, _)| Some(*id) != call.replaces);
+            outstanding.retain(|(id, _)| Some(*id) != call.replaces);
             subscription.answer_started(call.id, now);
-            out.push((call.id, now));
+            outstanding.push((call.id, now));
         }
-        if let Some((id, _)) = out.iter().find(|(_, began)| now >= *began + TAKES) {
+        if let Some((id, _)) = outstanding.iter().find(|(_, started_at)| now >= *started_at + DURATION) {
             assert!(subscription.answered(*id, 8, now).accepted);
             return;
         }
     }
-    panic!("never whole");
+    panic!("the list was never received");
 }
--- a/src/policy/zones.rs
+++ b/src/policy/zones.rs
@@ -1,83 +1,90 @@
-//! How a zone fares as a whole, and what its servers take from that.
+//! The failure rate of each zone, and how it affects the breakers of the zone's servers.
 
 use super::breaker::{State, COMMON_RATE, COOLDOWN, MIN_CALLS, TRIALS, TRIP_RATE, WINDOW};
-use super::hash::{mix, unit};
+use super::hash::{mix, unit_interval};
 use super::Balancer;
 use crate::api::{Action, Name, Timestamp};
 
-/// Outcomes of a zone over which its failure rate is averaged.
-const ZONE_SPAN: f64 = 8.0;
+/// Number of outcomes over which the failure rate of a zone is averaged.
+const RATE_OUTCOMES: f64 = 8.0;
 
-/// How the servers of a zone fare as a whole, at this node and lately.
+/// Recent outcomes of all servers of a zone, as seen by this node.
 #[derive(Debug)]
 pub(super) struct Zone {
     pub(super) name: Option<Name>,
     pub(super) calls: u32,
-    pub(super) failing: f64,
-    pub(super) heard: Timestamp,
-    /// It fails as a whole, and when a trial there was last sent.
-    pub(super) shut: bool,
-    pub(super) tried: Timestamp,
+    pub(super) failure_rate: f64,
+    pub(super) last_outcome_at: Timestamp,
+    /// Whether the zone fails as a whole, and when a trial was last sent to one of its servers.
+    pub(super) down: bool,
+    pub(super) last_trial_at: Timestamp,
 }
 
 impl Zone {
-    pub(super) fn note(&mut self, ok: bool, now: Timestamp) {
-        if now >= self.heard + WINDOW {
-            (self.calls, self.failing) = (0, 0.0);
+    pub(super) fn record(&mut self, ok: bool, now: Timestamp) {
+        if now >= self.last_outcome_at + WINDOW {
+            (self.calls, self.failure_rate) = (0, 0.0);
         }
-        (self.calls, self.heard) = (self.calls.saturating_add(1), now);
+        (self.calls, self.last_outcome_at) = (self.calls.saturating_add(1), now);
         let failed = if ok { 0.0 } else { 1.0 };
-        self.failing += (failed - self.failing) / f64::from(self.calls).min(ZONE_SPAN);
+        self.failure_rate += (failed - self.failure_rate) / f64::from(self.calls).min(RATE_OUTCOMES);
     }
 
-    /// Its failure rate, where enough was heard of it lately to tell.
-    pub(super) fn rate(&self, now: Timestamp) -> Option<f64> {
-        (self.calls >= MIN_CALLS && now < self.heard + WINDOW).then_some(self.failing)
+    /// Its failure rate; `None` if there are too few recent outcomes.
+    pub(super) fn recent_rate(&self, now: Timestamp) -> Option<f64> {
+        (self.calls >= MIN_CALLS && now < self.last_outcome_at + WINDOW).then_some(self.failure_rate)
     }
 }
 
 impl Balancer {
-    /// Whether a zone fares otherwise than some other one: what ails it is then not common to all servers.
-    pub(super) fn apart(&self, zone: usize, now: Timestamp) -> bool {
+    /// Whether some other zone is healthy, so that a failure of this zone has no cause common to all servers.
+    pub(super) fn other_zone_healthy(&self, zone: usize, now: Timestamp) -> bool {
         let others = self.zones.iter().enumerate().filter(|(other, _)| *other != zone);
-        others.filter_map(|(_, other)| other.rate(now)).any(|rate| rate < COMMON_RATE)
+        others.filter_map(|(_, other)| other.recent_rate(now)).any(|rate| rate < COMMON_RATE)
     }
 
-    /// Counts how an attempt fared for its zone. Where the whole zone fails and others don't, so do those of
-    /// its servers that this node has not heard enough of to know better.
-    pub(super) fn judge_zone(&mut self, z: usize, ok: bool, now: Timestamp, actions: &mut Vec<Action>) {
-        self.zones[z].note(ok, now);
-        let others = self.zones[z].rate(now);
-        let apart = self.apart(z, now);
+    /// Records the outcome of an attempt for its zone. If the zone fails as a whole and another zone does
+    /// not, the breakers of its servers open, except where this node's own outcomes show that a server works.
+    pub(super) fn record_zone_outcome(
+        &mut self,
+        z: usize,
+        ok: bool,
+        now: Timestamp,
+        actions: &mut Vec<Action>,
+    ) {
+        self.zones[z].record(ok, now);
+        let zone_rate = self.zones[z].recent_rate(now);
+        let other_healthy = self.other_zone_healthy(z, now);
         let zone = &mut self.zones[z];
-        let told = |what: &str| {
+        let log = |change: &str| {
             let name = zone.name.as_ref().map_or("with no name", |name| name.as_str());
-            Action::Log(format!("zone {name} {what}"))
+            Action::Log(format!("zone {name} {change}"))
         };
-        if ok && zone.shut {
-            actions.push(told("answers again"));
-            (zone.shut, zone.calls) = (false, 0);
-        } else if !ok && apart && others.is_some_and(|rate| rate >= TRIP_RATE) {
-            if !zone.shut {
-                actions.push(told("fails as a whole"));
+        if ok && zone.down {
+            actions.push(log("answers again"));
+            (zone.down, zone.calls) = (false, 0);
+        } else if !ok && other_healthy && zone_rate.is_some_and(|rate| rate >= TRIP_RATE) {
+            if !zone.down {
+                actions.push(log("fails as a whole"));
             }
-            zone.shut = true;
+            zone.down = true;
             let seed = self.seed ^ now.as_micros();
-            for mate in self.servers.iter_mut().filter(|mate| mate.zone == z) {
-                mate.breaker.turn(now);
-                if mate.breaker.state == State::Closed && mate.breaker.failing(others) {
-                    // Those that are shut together must not all be due for a trial together.
-                    let jittered = COOLDOWN.mul_f64(1.0 + unit(mix(seed ^ mate.hash)) / 2.0);
-                    mate.breaker.enter(State::Open { until: now + jittered }, now);
+            for server in self.servers.iter_mut().filter(|server| server.zone == z) {
+                server.breaker.roll_window(now);
+                if server.breaker.state == State::Closed && server.breaker.is_failing(zone_rate) {
+                    // Breakers that open together must not all become due for a trial together.
+                    let jittered = COOLDOWN.mul_f64(1.0 + unit_interval(mix(seed ^ server.hash)) / 2.0);
+                    server.breaker.enter(State::Open { until: now + jittered }, now);
                 }
             }
         }
     }
 
-    /// One trial tells of a whole zone: while it fails, not each of its servers is tried after its cooldown.
-    pub(super) fn may_try(&self, i: usize, now: Timestamp) -> bool {
+    /// Whether the state of its zone lets the server get a request. While a zone is down, one trial shows the
+    /// state of all of it, so its servers do not each get trials after their cooldowns.
+    pub(super) fn zone_admits(&self, i: usize, now: Timestamp) -> bool {
         let zone = &self.zones[self.servers[i].zone];
         let trial = self.servers[i].breaker.state != State::Closed;
-        !(trial && zone.shut) || now >= zone.tried + COOLDOWN / TRIALS
+        !(trial && zone.down) || now >= zone.last_trial_at + COOLDOWN / TRIALS
     }
 }
