--- a/src/bin/walkpick-adapter.rs
+++ b/src/bin/walkpick-adapter.rs
@@ -1,4 +1,5 @@
-//! Hosts balancers on the simulator's wire: one isolated `Balancer` per instance, lines in, lines out.
+//! Runs balancers under the simulator's text protocol on stdin and stdout, with one isolated `Balancer` per
+//! instance.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Write};
@@ -32,15 +33,15 @@
         match parser.parse_line(&line)? {
             None => {}
             Some(Input::Tick(at)) => now = at,
-            Some(Input::Start { instance: who, seed, settings }) => {
-                instances.insert(who, Balancer::new(*settings, seed));
+            Some(Input::Start { instance, seed, settings }) => {
+                instances.insert(instance, Balancer::new(*settings, seed));
             }
-            Some(Input::Stop { instance: who }) => {
-                instances.remove(&who);
+            Some(Input::Stop { instance }) => {
+                instances.remove(&instance);
             }
-            Some(Input::Event { instance: who, event }) => {
-                if let Some(balancer) = instances.get_mut(&who) {
-                    step(balancer, who, now, event, &mut actions, &mut reply);
+            Some(Input::Event { instance, event }) => {
+                if let Some(balancer) = instances.get_mut(&instance) {
+                    step(balancer, instance, now, event, &mut actions, &mut reply);
                 }
             }
             Some(Input::ReplyDue) => {
@@ -55,20 +56,20 @@
 
 fn step(
     balancer: &mut Balancer,
-    who: u32,
+    instance: u32,
     now: Timestamp,
     event: Event,
     actions: &mut Vec<Action>,
     reply: &mut String,
 ) {
     actions.clear();
-    let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
+    let result = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
     for action in actions.iter() {
-        write_action(reply, who, action);
+        write_action(reply, instance, action);
     }
-    if let Err(panic) = handled {
+    if let Err(panic) = result {
         let text = panic.downcast_ref::<String>().map(String::as_str);
         let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-        write_panic(reply, who, text);
+        write_panic(reply, instance, text);
     }
 }
