--- a/src/check.rs
+++ b/src/check.rs
@@ -1,9 +1,9 @@
 //! `walkpick check-config`: what a node would do with a configuration, or all that is wrong with it.
 
 use crate::net::config::fault::{ConfigError, Fault};
-use crate::net::config::section::{Log, PeersSection, ITEMS};
+use crate::net::config::section::{LogConfig, PeersSection, OPTIONS};
 use crate::net::config::{self, Config};
-use crate::net::lifecycle::Stop;
+use crate::net::lifecycle::ShutdownPlan;
 use clap::Args;
 use humantime::format_duration;
 use serde::Serialize;
@@ -44,7 +44,7 @@
     classes: Vec<ClassPlan>,
     /// After SIGTERM.
     stop: StopPlan,
-    log: Log,
+    log: LogConfig,
     /// Where it meets its peers.
     peers: Option<PeersSection>,
     /// What can be done, and was probably not meant.
@@ -100,15 +100,15 @@
     let shown =
         |fault: &Fault| json!({"place": fault.place, "found": fault.found, "expected": fault.expected});
     match error {
-        ConfigError::Faulty { faults, .. } => faults.iter().map(shown).collect(),
+        ConfigError::Invalid { faults, .. } => faults.iter().map(shown).collect(),
         other => vec![shown(&Fault::new("the file", other.to_string(), "a file that can be read"))],
     }
 }
 
 fn options(as_json: bool, out: &mut impl Write) -> io::Result<()> {
-    let rows = ITEMS.iter().map(|item| (format!("walkpick.{}", item.path), item));
+    let rows = OPTIONS.iter().map(|item| (format!("walkpick.{}", item.path), item));
     if as_json {
-        let row = |(path, item): (String, &config::section::Item)| json!({"path": path, "expected": item.kind.expected(), "default": item.default, "about": item.about});
+        let row = |(path, item): (String, &config::section::OptionSpec)| json!({"path": path, "expected": item.kind.expected(), "default": item.default, "about": item.about});
         return writeln!(out, "{:#}", serde_json::Value::Array(rows.map(row).collect()));
     }
     for (path, item) in rows {
@@ -127,13 +127,13 @@
             deadline: format_duration(class.deadline).to_string(),
         };
         let told = Instant::now();
-        let stop = Stop::plan(told, told, Duration::ZERO, config.longest_deadline());
+        let stop = ShutdownPlan::new(told, told, Duration::ZERO, config.longest_deadline());
         let after = |at: Instant| format_duration(at - told).to_string();
         Self {
             name: config.name.clone(),
             listen: config.listen.to_string(),
             discovery: config.discovery.to_string(),
-            connections: config.connections(),
+            connections: config.max_connections(),
             known_servers: config.known.hosts.len(),
             nodes: settings.nodes,
             zone: settings.zone.as_ref().map(ToString::to_string),
@@ -141,7 +141,7 @@
             stop: StopPlan {
                 closes: after(stop.close_at),
                 all_answered: after(stop.answer_by),
-                gone: after(stop.gone_by),
+                gone: after(stop.exit_by),
             },
             log: config.section.log.clone(),
             peers: Some(config.section.peers.clone()).filter(|peers| peers.listen.is_some()),
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,7 +1,7 @@
 //! The node's log: levels and targets by subsystem, as text or JSON lines, on standard error. Lines from one place
 //! of the program are held to so many within a window: a storm of faults must not become one of lines.
 
-use crate::net::config::section::{Format, Level, Log};
+use crate::net::config::section::{LogConfig, LogFormat, LogLevel};
 use std::collections::HashMap;
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,32 +16,32 @@
 use tracing_subscriber::{fmt, registry};
 
 /// Starts the log of this process, once. What it leaves out is told by [`Limit::tell`].
-pub fn start(log: &Log) -> Limit {
+pub fn start(log: &LogConfig) -> Limit {
     let limit = Limit::new(log.like_lines, log.window);
     let common = registry().with(targets(log)).with(limit.clone());
     let lines = fmt::layer().with_ansi(false).with_writer(io::stderr);
     let started = match log.format {
-        Format::Text => common.with(lines).try_init(),
-        Format::Json => common.with(lines.json().flatten_event(true)).try_init(),
+        LogFormat::Text => common.with(lines).try_init(),
+        LogFormat::Json => common.with(lines.json().flatten_event(true)).try_init(),
     };
     // A log that was started before stays as it is.
     drop(started);
     limit
 }
 
-fn targets(log: &Log) -> Targets {
+fn targets(log: &LogConfig) -> Targets {
     let named = log.levels.iter().map(|(name, level)| (name.clone(), level_filter(*level)));
     Targets::new().with_default(level_filter(log.level)).with_targets(named)
 }
 
-fn level_filter(level: Level) -> LevelFilter {
+fn level_filter(level: LogLevel) -> LevelFilter {
     match level {
-        Level::Off => LevelFilter::OFF,
-        Level::Error => LevelFilter::ERROR,
-        Level::Warn => LevelFilter::WARN,
-        Level::Info => LevelFilter::INFO,
-        Level::Debug => LevelFilter::DEBUG,
-        Level::Trace => LevelFilter::TRACE,
+        LogLevel::Off => LevelFilter::OFF,
+        LogLevel::Error => LevelFilter::ERROR,
+        LogLevel::Warn => LevelFilter::WARN,
+        LogLevel::Info => LevelFilter::INFO,
+        LogLevel::Debug => LevelFilter::DEBUG,
+        LogLevel::Trace => LevelFilter::TRACE,
     }
 }
 
--- a/src/log/tests.rs
+++ b/src/log/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn lines_of(log: &Log, limit: &Limit, write: impl Fn()) -> Vec<String> {
+fn lines_of(log: &LogConfig, limit: &Limit, write: impl Fn()) -> Vec<String> {
     let written = Written::default();
     let writer = written.clone();
     let lines = fmt::layer().with_ansi(false).with_writer(move || writer.clone());
@@ -26,9 +26,9 @@
 
 // Guards against a fault storm that takes the node's time and its disk by way of the log.
 #[test]
-fn like_lines_are_held_to_a_number_and_the_others_are_counted() {
+fn lines_beyond_the_limit_are_dropped_and_counted() {
     let limit = Limit::new(3, Duration::from_secs(3600));
-    let lines = lines_of(&Log::default(), &limit, || {
+    let lines = lines_of(&LogConfig::default(), &limit, || {
         for i in 0..1000 {
             info!(target: "request", "request {i} failed");
         }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_new_window_admits_anew() {
+fn each_window_has_its_own_limit() {
     fn some_place() -> &'static Metadata<'static> {
         let mut found = None;
         with_default(registry(), || {
@@ -58,9 +58,9 @@
 }
 
 #[test]
-fn levels_hold_by_subsystem() {
-    let levels = [("policy".to_owned(), Level::Off), ("request".to_owned(), Level::Debug)];
-    let log = Log { level: Level::Warn, levels: levels.into(), ..Log::default() };
+fn levels_apply_by_subsystem() {
+    let levels = [("policy".to_owned(), LogLevel::Off), ("request".to_owned(), LogLevel::Debug)];
+    let log = LogConfig { level: LogLevel::Warn, levels: levels.into(), ..LogConfig::default() };
     let lines = lines_of(&log, &Limit::new(10, Duration::from_secs(1)), || {
         debug!(target: "request", "one");
         warn!(target: "policy", "two");
--- a/src/main.rs
+++ b/src/main.rs
@@ -26,10 +26,10 @@
 use net::config::{self, Config};
 use net::discovery::DiscoveryClient;
 use net::driver::{Driver, Input};
-use net::lifecycle::{Pulse, Stage, Stop};
+use net::lifecycle::{LagMonitor, ShutdownPlan, Stage};
 use net::peers::Peering;
-use net::server::{serve, Front};
-use net::transient::{retry, retry_while, RELOAD_PATIENCE, START_PATIENCE};
+use net::server::{serve, Frontend};
+use net::transient::{retry, retry_while, RELOAD_TIMEOUT, STARTUP_TIMEOUT};
 use net::upstream::Upstream;
 use std::error::Error;
 use std::io;
@@ -85,21 +85,22 @@
     // First of all: a signal that comes while the node starts waits for it.
     let mut terminate = signal(SignalKind::terminate())?;
     let hangup = signal(SignalKind::hangup())?;
-    let pulse = Rc::new(Pulse::start());
+    let lag_monitor = Rc::new(LagMonitor::start());
     let path = config::path(variable)?;
     // No log yet: its levels stand in the file.
-    let config = retry(START_PATIENCE, "reading the configuration", || config::load(&path, variable)).await?;
-    let (most, longest_deadline) = (config.connections(), config.longest_deadline());
+    let config =
+        retry(STARTUP_TIMEOUT, "reading the configuration", || config::load(&path, variable)).await?;
+    let (most, longest_deadline) = (config.max_connections(), config.longest_deadline());
     let Config { name, listen, discovery, seed, known, settings, delivery, section, .. } = config;
     let limit = log::start(&section.log);
-    let listener = retry(START_PATIENCE, "listening for clients", || listen_on(listen)).await;
+    let listener = retry(STARTUP_TIMEOUT, "listening for clients", || listen_on(listen)).await;
     let listener = listener.map_err(|error| format!("cannot listen on {listen}: {error}"))?;
     info!(target: "node", "node {name} listens on {}", listener.local_addr()?);
     info!(target: "discovery", ?delivery, address = %discovery, known = known.hosts.len(), seq = known.seq, "lists come");
     let peering = match section.peers.listen {
         None => None,
         Some(listen) => {
-            let (config, advertise) = (section.peers.of(settings.nodes), section.peers.advertise);
+            let (config, advertise) = (section.peers.peers_config(settings.nodes), section.peers.advertise);
             let location = section.peers.location();
             let opened = Peering::open(listen, advertise, config, &name, &location, false, seed).await;
             let opened = opened.map_err(|error| format!("cannot listen on {listen} for peers: {error}"))?;
@@ -117,7 +118,7 @@
     // The driver only goes when the node does: nothing is lost by what it is told after that.
     let (sender, news) = (events.clone(), events.clone());
     let tell = Rc::new(move |word| drop(sender.send(Input::Client(word))));
-    let front = Rc::new(Front::new(&settings, Rc::clone(&ready), pulse.clone(), stage, tell));
+    let frontend = Rc::new(Frontend::new(&settings, Rc::clone(&ready), lag_monitor.clone(), stage, tell));
     let seq = (!known.hosts.is_empty()).then_some(known.seq);
     let subscription = Subscription::new(delivery, seq, seed, Instant::now().into_std());
     let publish = move |listing| news.send(Input::Servers(listing)).is_ok();
@@ -134,39 +135,39 @@
         let tell = move |nodes| drop(events.send(Input::Nodes(nodes)));
         spawn_local(net::peers::run(peering, stages.subscribe(), tell));
     }
-    let mut serving = spawn_local(serve(listener, front.clone(), most));
+    let mut serving = spawn_local(serve(listener, frontend.clone(), most));
 
-    let beating = pulse.clone();
-    spawn_local(async move { beating.beat().await });
+    let monitor = lag_monitor.clone();
+    spawn_local(async move { monitor.run().await });
 
     terminate.recv().await;
-    let (told, noticed) = (pulse.before_signal(), Instant::now());
-    let stop = Stop::plan(told, noticed, pulse.lateness(), longest_deadline);
+    let (told, noticed) = (lag_monitor.earliest_signal_at(), Instant::now());
+    let stop = ShutdownPlan::new(told, noticed, lag_monitor.recent_max_lag(), longest_deadline);
     info!(
         target: "node",
         closes_in_ms = ms_until(stop.close_at),
-        gone_in_ms = ms_until(stop.gone_by),
+        gone_in_ms = ms_until(stop.exit_by),
         "node {name} is told to stop"
     );
     // The driver only goes when the node does.
     let _ = events.send(Input::Stopping { answer_by: stop.answer_by });
-    stages.send_replace(Stage::Leaving);
+    stages.send_replace(Stage::NotReady);
     sleep_until(stop.close_at).await;
     stages.send_replace(Stage::Closing);
-    let ended = match timeout_at(stop.gone_by, &mut serving).await {
+    let ended = match timeout_at(stop.exit_by, &mut serving).await {
         Ok(ended) => Some(ended),
         Err(_) => {
             // Whoever is owed an answer still gets it, unless the client does not read what it is sent.
-            stages.send_replace(Stage::Gone);
-            timeout_at(stop.end(Instant::now()), serving).await.ok()
+            stages.send_replace(Stage::Exiting);
+            timeout_at(stop.exit_deadline(Instant::now()), serving).await.ok()
         }
     };
     ended.transpose()?;
-    let last = front.answered.get().filter(|last| *last >= told);
-    let spare_ms = last.map(|last| (stop.kill - last).as_millis() as u64);
+    let last = frontend.last_answer_at.get().filter(|last| *last >= told);
+    let spare_ms = last.map(|last| (stop.kill_at - last).as_millis() as u64);
     info!(
         target: "node",
-        before_kill_ms = ms_until(stop.kill),
+        before_kill_ms = ms_until(stop.kill_at),
         last_answer_before_kill_ms = spare_ms,
         "node {name} is gone"
     );
@@ -195,7 +196,7 @@
 async fn reload(mut hangup: Signal, path: PathBuf, moves: watch::Sender<SocketAddr>) {
     while hangup.recv().await.is_some() {
         let read = || config::reload_discovery(&path);
-        match retry_while(RELOAD_PATIENCE, "reading the configuration", |_| true, read).await {
+        match retry_while(RELOAD_TIMEOUT, "reading the configuration", |_| true, read).await {
             Ok(address) => {
                 info!(target: "node", %address, "told to reload: this is where discovery is");
                 // The whole list is asked for also where the address stays: another process may listen there.
--- a/src/net/config/fault.rs
+++ b/src/net/config/fault.rs
@@ -1,15 +1,16 @@
-//! What is wrong with a configuration: every fault at once, each with its place, what stands there and what
-//! should.
+//! Faults of a configuration. All of them are reported at once, each with its place, the value found there
+//! and the value expected.
 
 use serde_json::Value;
 use std::fmt;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// One thing that is wrong.
+/// One fault of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// A JSON path such as `walkpick.log.level`, a place in the text, or the name of a variable.
+    /// A JSON path such as `walkpick.log.level`, a position in the text, or the name of an environment
+    /// variable.
     pub place: String,
     pub found: String,
     pub expected: String,
@@ -20,9 +21,9 @@
         Self { place: place.into(), found: found.into(), expected: expected.into() }
     }
 
-    /// Of a value that stands at the wrong place, or of none.
+    /// A fault of a wrong value, or of a missing one.
     pub fn at(place: impl Into<String>, found: Option<&Value>, expected: impl Into<String>) -> Self {
-        Self::new(place, found.map_or_else(|| "nothing".to_owned(), shown), expected)
+        Self::new(place, found.map_or_else(|| "nothing".to_owned(), excerpt), expected)
     }
 }
 
@@ -32,15 +33,15 @@
     }
 }
 
-/// A value as a message shows it: cut short where it is long.
-fn shown(value: &Value) -> String {
-    const MOST: usize = 40;
+/// Formats a value for a message, truncated if it is long.
+fn excerpt(value: &Value) -> String {
+    const MAX_CHARS: usize = 40;
     match value {
         Value::Object(fields) => format!("an object of {}", fields.len()),
         Value::Array(items) => format!("a list of {}", items.len()),
         _ => {
             let text = value.to_string();
-            match text.char_indices().nth(MOST) {
+            match text.char_indices().nth(MAX_CHARS) {
                 Some((end, _)) => format!("{}...", &text[..end]),
                 None => text,
             }
@@ -48,18 +49,18 @@
     }
 }
 
-/// Why a node cannot start.
+/// Why a configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     #[error("LB_CONFIG: found nothing, expected the path of a configuration")]
     NoPath,
     #[error("{}: cannot be read: {error}", path.display())]
     Unreadable { path: PathBuf, error: std::io::Error },
-    #[error("{}", listed(path, faults))]
-    Faulty { path: PathBuf, faults: Vec<Fault> },
+    #[error("{}", fault_lines(path, faults))]
+    Invalid { path: PathBuf, faults: Vec<Fault> },
 }
 
-fn listed(path: &std::path::Path, faults: &[Fault]) -> String {
+fn fault_lines(path: &std::path::Path, faults: &[Fault]) -> String {
     let lines: Vec<_> = faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect();
     lines.join("\n")
 }
--- a/src/net/config/fault/tests.rs
+++ b/src/net/config/fault/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn long_values_are_cut_at_a_character() {
-    assert_eq!(shown(&Value::from("é".repeat(60))).chars().count(), 43);
-    assert_eq!(shown(&Value::from("é")), "\"é\"");
-    assert_eq!(shown(&serde_json::json!([1, 2])), "a list of 2");
+fn long_values_are_truncated_at_a_character_boundary() {
+    assert_eq!(excerpt(&Value::from("é".repeat(60))).chars().count(), 43);
+    assert_eq!(excerpt(&Value::from("é")), "\"é\"");
+    assert_eq!(excerpt(&serde_json::json!([1, 2])), "a list of 2");
 }
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -1,4 +1,4 @@
-//! `LB_CONFIG` and the environment, read into typed values; every fault is told at once.
+//! Reads `LB_CONFIG` and the environment into typed values and reports all faults at once.
 
 pub mod fault;
 pub mod section;
@@ -14,91 +14,91 @@
 use walkpick::wire::{read_settings, SettingFault};
 use walkpick::Settings;
 
-/// What a node is told at its start.
+/// The configuration of a node.
 #[derive(Debug)]
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Number of file descriptors that the process may use.
     pub sockets: usize,
-    /// The cache servers as this node last knew them.
+    /// The last known list of cache servers.
     pub known: Listing,
     pub settings: Settings,
-    /// How lists of servers reach this node.
+    /// How server lists reach this node.
     pub delivery: Delivery,
-    /// What this node offers of its own.
+    /// Options that are specific to this implementation.
     pub section: Section,
 }
 
-/// The setting that says whether clients get the time to stay away.
-const TOLD_WHEN: &str = "limits.retry_after";
-/// Fewer descriptors than this don't hold the runtime's own and one connection each way.
-const LEAST_SOCKETS: u64 = 32;
+/// The setting that says whether clients are told how long to stay away.
+const RETRY_AFTER_SETTING: &str = "limits.retry_after";
+/// With fewer descriptors, the runtime's own and one connection in each direction would not fit.
+const MIN_SOCKETS: u64 = 32;
 
-/// Descriptors left for the runtime, the listener, discovery and the standard streams.
-const SPARE_SOCKETS: usize = 24;
+/// Descriptors reserved for the runtime, the listener, discovery and the standard streams.
+const RESERVED_SOCKETS: usize = 24;
 
 impl Config {
-    /// Connections of clients that are served at once: each holds one to a cache server for as long.
-    pub fn connections(&self) -> usize {
-        self.sockets.saturating_sub(SPARE_SOCKETS) / 2
+    /// Maximum number of client connections; each may need a connection to a cache server at the same time.
+    pub fn max_connections(&self) -> usize {
+        self.sockets.saturating_sub(RESERVED_SOCKETS) / 2
     }
 
-    /// Of all classes.
+    /// The longest deadline of any class.
     pub fn longest_deadline(&self) -> Duration {
         self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 }
 
-/// Where the configuration is.
+/// Returns the path of the configuration file.
 pub fn path(variable: impl Fn(&str) -> Option<String>) -> Result<PathBuf, ConfigError> {
     variable("LB_CONFIG").map(PathBuf::from).ok_or(ConfigError::NoPath)
 }
 
-/// Reads a file; the other variables go before what it says.
+/// Loads the configuration file. Environment variables take precedence over it.
 pub fn load(path: &Path, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let file = read_file(path)?;
     let mut faults = Vec::new();
     let config = read(&file, variable, &mut faults);
     match config {
         Some(config) if faults.is_empty() => Ok(config),
-        _ => Err(ConfigError::Faulty { path: path.to_owned(), faults }),
+        _ => Err(ConfigError::Invalid { path: path.to_owned(), faults }),
     }
 }
 
-/// Reads the file anew for where discovery is. `LB_DISCOVERY` does not go before it here: the environment is
-/// as old as the process, and the file was replaced to say something else.
+/// Rereads discovery's address from the file. `LB_DISCOVERY` does not take precedence here: the environment
+/// is as old as the process, whereas the file has been replaced in order to change the address.
 pub fn reload_discovery(path: &Path) -> Result<SocketAddr, ConfigError> {
     let file = read_file(path)?;
     let mut faults = Vec::new();
     let address = address(&file, "discovery", |_| None, &mut faults);
-    address.ok_or(ConfigError::Faulty { path: path.to_owned(), faults })
+    address.ok_or(ConfigError::Invalid { path: path.to_owned(), faults })
 }
 
 fn read_file(path: &Path) -> Result<Map<String, Value>, ConfigError> {
     let bytes =
         std::fs::read(path).map_err(|error| ConfigError::Unreadable { path: path.to_owned(), error })?;
-    let faulty = |fault| ConfigError::Faulty { path: path.to_owned(), faults: vec![fault] };
+    let invalid = |fault| ConfigError::Invalid { path: path.to_owned(), faults: vec![fault] };
     let text = std::str::from_utf8(&bytes).map_err(|error| {
-        faulty(Fault::new(format!("byte {}", error.valid_up_to()), "no UTF-8", "text in UTF-8"))
+        invalid(Fault::new(format!("byte {}", error.valid_up_to()), "no UTF-8", "text in UTF-8"))
     })?;
     if text.trim().is_empty() {
-        return Err(faulty(Fault::new("the file", "nothing", "a JSON object")));
+        return Err(invalid(Fault::new("the file", "nothing", "a JSON object")));
     }
     let value = serde_json::from_str(text).map_err(|error| {
         let place = format!("line {}, column {}", error.line(), error.column());
         let found = if error.is_eof() { "the end of the text".to_owned() } else { error.to_string() };
-        faulty(Fault::new(place, found, "a whole JSON object"))
+        invalid(Fault::new(place, found, "a whole JSON object"))
     })?;
     match value {
         Value::Object(file) => Ok(file),
-        other => Err(faulty(Fault::at("the file", Some(&other), "a JSON object"))),
+        other => Err(invalid(Fault::at("the file", Some(&other), "a JSON object"))),
     }
 }
 
-/// `None` only where `faults` has grown.
+/// Returns `None` only if it has added to `faults`.
 fn read(
     file: &Map<String, Value>,
     variable: impl Fn(&str) -> Option<String>,
@@ -109,19 +109,19 @@
     let discovery = address(file, "discovery", &variable, faults);
     let seed = text(file, "seed", faults).and_then(|seed| {
         let read = u64::from_str_radix(&seed, 16).ok();
-        read.or_else(|| refuse(file, "seed", "a hexadecimal number of 64 bits", faults))
+        read.or_else(|| report_fault(file, "seed", "a hexadecimal number of 64 bits", faults))
     });
     let sockets = sockets(file, faults);
     let known = match file.get("known") {
         None => Some(Listing::default()),
         Some(known) => serde_json::from_value(known.clone()).ok().or_else(|| {
-            refuse(file, "known", "a list in discovery's form: `seq`, `whole` and `hosts`", faults)
+            report_fault(file, "known", "a list in discovery's form: `seq`, `whole` and `hosts`", faults)
         }),
     };
     let settings = settings(file, faults);
     let section = section::read(file.get("walkpick"), faults);
     let settings = settings?;
-    // On sockets discovery tells only those that call it, and its client has a schedule of its own.
+    // On sockets, discovery answers only calls, and its client has a schedule of its own.
     let delivery = if settings.must_follow { Delivery::Polled } else { Delivery::Pushed };
     Some(Config {
         name: name?,
@@ -136,18 +136,23 @@
     })
 }
 
-/// Notes that what stands at a place of the file is not what should.
-fn refuse<T>(file: &Map<String, Value>, place: &str, expected: &str, faults: &mut Vec<Fault>) -> Option<T> {
+/// Reports that the value at `place` is not what is expected there.
+fn report_fault<T>(
+    file: &Map<String, Value>,
+    place: &str,
+    expected: &str,
+    faults: &mut Vec<Fault>,
+) -> Option<T> {
     faults.push(Fault::at(place, file.get(place), expected));
     None
 }
 
 fn text(file: &Map<String, Value>, name: &str, faults: &mut Vec<Fault>) -> Option<String> {
     let text = file.get(name).and_then(Value::as_str).map(str::to_owned);
-    text.or_else(|| refuse(file, name, "a text", faults))
+    text.or_else(|| report_fault(file, name, "a text", faults))
 }
 
-/// An address, from its variable or else the file.
+/// Reads an address from its environment variable, or else from the file.
 fn address(
     file: &Map<String, Value>,
     name: &str,
@@ -155,28 +160,28 @@
     faults: &mut Vec<Fault>,
 ) -> Option<SocketAddr> {
     const EXPECTED: &str = "an address and port such as 10.0.0.4:7070";
-    let own = format!("LB_{}", name.to_uppercase());
-    if let Some(text) = variable(&own) {
+    let variable_name = format!("LB_{}", name.to_uppercase());
+    if let Some(text) = variable(&variable_name) {
         let read = text.parse().ok();
         return read.or_else(|| {
-            faults.push(Fault::new(own, format!("{text:?}"), EXPECTED));
+            faults.push(Fault::new(variable_name, format!("{text:?}"), EXPECTED));
             None
         });
     }
     let read = file.get(name).and_then(Value::as_str).and_then(|text| text.parse().ok());
-    read.or_else(|| refuse(file, name, EXPECTED, faults))
+    read.or_else(|| report_fault(file, name, EXPECTED, faults))
 }
 
 fn sockets(file: &Map<String, Value>, faults: &mut Vec<Fault>) -> Option<usize> {
     let limits = file.get("limits");
     let Some(fields) = limits.and_then(Value::as_object) else {
-        return refuse(file, "limits", "an object with `sockets`", faults);
+        return report_fault(file, "limits", "an object with `sockets`", faults);
     };
     let sockets = fields.get("sockets");
-    let read = sockets.and_then(Value::as_u64).filter(|sockets| *sockets >= LEAST_SOCKETS);
+    let read = sockets.and_then(Value::as_u64).filter(|sockets| *sockets >= MIN_SOCKETS);
     let read = read.and_then(|sockets| usize::try_from(sockets).ok());
     read.or_else(|| {
-        let expected = format!("a whole number from {LEAST_SOCKETS}: fewer leave no room to work");
+        let expected = format!("a whole number from {MIN_SOCKETS}: fewer leave no room to work");
         faults.push(Fault::at("limits.sockets", sockets, expected));
         None
     })
@@ -184,18 +189,18 @@
 
 fn settings(file: &Map<String, Value>, faults: &mut Vec<Fault>) -> Option<Settings> {
     let Some(settings) = file.get("settings").filter(|settings| settings.is_object()) else {
-        return refuse(file, "settings", "an object", faults);
+        return report_fault(file, "settings", "an object", faults);
     };
     let mut pairs = Vec::new();
     flatten(String::new(), settings, &mut pairs);
-    // Whether the simulator's clients are told when to come back does not matter on sockets: a refusal may
-    // always say it, and to say no time at all is to ask for the same request again at once.
-    pairs.retain(|(path, _)| path != TOLD_WHEN);
-    pairs.push((TOLD_WHEN.to_owned(), true.to_string()));
+    // The setting only says whether the simulator's clients understand a retry time. On sockets a refusal may
+    // always carry one, and a refusal without one invites an immediate retry.
+    pairs.retain(|(path, _)| path != RETRY_AFTER_SETTING);
+    pairs.push((RETRY_AFTER_SETTING.to_owned(), true.to_string()));
     match read_settings(&pairs) {
         Ok(settings) => Some(settings),
-        Err(wrong) => {
-            faults.extend(wrong.into_iter().map(|SettingFault { path, found, expected }| {
+        Err(setting_faults) => {
+            faults.extend(setting_faults.into_iter().map(|SettingFault { path, found, expected }| {
                 let found = found.map_or_else(|| "nothing".to_owned(), |found| format!("{found:?}"));
                 Fault::new(format!("settings.{path}"), found, expected)
             }));
@@ -204,30 +209,30 @@
     }
 }
 
-/// Nested JSON as the wire's pairs of path and value.
+/// Flattens nested JSON into the pairs of path and value that the wire protocol uses.
 fn flatten(path: String, value: &Value, pairs: &mut Vec<(String, String)>) {
-    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let child_path = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
         Value::Null => {}
         Value::Object(fields) => {
             for (name, value) in fields {
-                flatten(below(name), value, pairs);
+                flatten(child_path(name), value, pairs);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            pairs.push((below("count"), items.len().to_string()));
+            pairs.push((child_path("count"), items.len().to_string()));
             for (i, item) in items.iter().enumerate() {
-                flatten(below(&i.to_string()), item, pairs);
+                flatten(child_path(&i.to_string()), item, pairs);
             }
         }
         Value::Array(items) => {
-            let items: Vec<_> = items.iter().map(plain).collect();
+            let items: Vec<_> = items.iter().map(scalar_text).collect();
             pairs.push((path, items.join(",")));
         }
-        _ => pairs.push((path, plain(value))),
+        _ => pairs.push((path, scalar_text(value))),
     }
 }
 
-fn plain(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/src/net/config/section.rs
+++ b/src/net/config/section.rs
@@ -1,5 +1,5 @@
-//! The optional section `walkpick`: what this node offers beside what the platform asks. Each value is declared
-//! once in [`ITEMS`]; `docs/configuration.md` and the types are held against that by tests.
+//! The optional section `walkpick`: options of this implementation beyond those of the platform. Each option
+//! is declared once in [`OPTIONS`]; tests compare `docs/configuration.md` and the types with it.
 
 use super::fault::Fault;
 use humantime::format_duration;
@@ -11,15 +11,15 @@
 use walkpick::peers::dissemination::DisseminationConfig;
 use walkpick::peers::{CountRules, Location, PeersConfig};
 
-/// The section, with a default for each value.
+/// The section; every option has a default.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Section {
-    pub log: Log,
+    pub log: LogConfig,
     pub peers: PeersSection,
 }
 
-/// Membership among the nodes; off where `listen` is not given.
+/// Membership among the nodes; off if `listen` is not set.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeersSection {
@@ -63,8 +63,8 @@
 }
 
 impl PeersSection {
-    /// What the membership is told, with so many nodes configured.
-    pub fn of(&self, nodes: u32) -> PeersConfig {
+    /// Builds the membership's configuration for a cluster with this configured number of nodes.
+    pub fn peers_config(&self, nodes: u32) -> PeersConfig {
         let base = PeersConfig::default();
         PeersConfig {
             cluster: self.cluster.clone(),
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Where this node runs, as its peers are told.
+    /// The location that this node reports to its peers.
     pub fn location(&self) -> Location {
         let text = |text: &Option<String>| text.clone().unwrap_or_default();
         Location { region: text(&self.region), zone: text(&self.zone), site: text(&self.site) }
     }
 }
 
-/// Whether a part of the program works.
+/// Whether an optional feature is enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Switch {
@@ -93,25 +93,25 @@
     On,
 }
 
-/// What is written to standard error, and how.
+/// Log settings; the log goes to standard error.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Log {
-    pub format: Format,
-    pub level: Level,
-    /// By subsystem, in place of `level`.
-    pub levels: BTreeMap<String, Level>,
-    /// Like lines that are written within `window`; the others are counted.
+pub struct LogConfig {
+    pub format: LogFormat,
+    pub level: LogLevel,
+    /// Levels by subsystem, which override `level`.
+    pub levels: BTreeMap<String, LogLevel>,
+    /// Maximum number of lines from one call site within `window`; further lines are dropped and counted.
     pub like_lines: u32,
     #[serde(with = "humantime_serde")]
     pub window: Duration,
 }
 
-impl Default for Log {
+impl Default for LogConfig {
     fn default() -> Self {
         Self {
-            format: Format::Text,
-            level: Level::Info,
+            format: LogFormat::Text,
+            level: LogLevel::Info,
             levels: BTreeMap::new(),
             like_lines: 100,
             window: Duration::from_secs(1),
@@ -121,14 +121,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Format {
+pub enum LogFormat {
     Text,
     Json,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Level {
+pub enum LogLevel {
     Off,
     Error,
     Warn,
@@ -137,162 +137,163 @@
     Trace,
 }
 
-/// Subsystems that log under a name of their own.
+/// Subsystems that log under their own target.
 pub const SUBSYSTEMS: &[&str] =
     &["clients", "discovery", "log", "node", "peers", "policy", "request", "servers"];
 
-/// Bytes of the name of a region, a zone or a site at the most: with three of them a datagram still holds its message.
-const PLACE: usize = 16;
+/// Maximum length of the name of a region, zone or site in bytes. With three such names a datagram still has
+/// room for its message.
+const MAX_PLACE_NAME_BYTES: usize = 16;
 
 const LEVELS: &[&str] = &["off", "error", "warn", "info", "debug", "trace"];
 
-/// What may stand at a place.
+/// The type and range of an option's value.
 #[derive(Clone, Copy, Debug)]
-pub enum Kind {
+pub enum ValueKind {
     OneOf(&'static [&'static str]),
-    /// A whole number, with its least and its most.
+    /// An integer with its minimum and maximum.
     Count(u64, u64),
-    /// A text of so many bytes at the most, and not empty.
+    /// A non-empty string with its maximum length in bytes.
     Text(usize),
     /// An address with a port.
     Address,
-    /// A list of those.
+    /// A list of addresses with ports.
     Addresses,
-    /// A text such as `250ms`, with its least and its most.
+    /// A duration such as `250ms`, with its minimum and maximum.
     Time(Duration, Duration),
-    /// An object: to each of these names, one of those words.
+    /// An object: its possible keys, and the possible values of each.
     Map(&'static [&'static str], &'static [&'static str]),
 }
 
-/// One value of the section.
+/// One option of the section.
 #[derive(Debug)]
-pub struct Item {
-    /// Below `walkpick`, with dots.
+pub struct OptionSpec {
+    /// Path below `walkpick`, separated by dots.
     pub path: &'static str,
-    pub kind: Kind,
-    /// As JSON.
+    pub kind: ValueKind,
+    /// The default as JSON.
     pub default: &'static str,
     pub about: &'static str,
 }
 
-/// Every value of the section.
-pub const ITEMS: &[Item] = &[
-    Item {
+/// All options of the section.
+pub const OPTIONS: &[OptionSpec] = &[
+    OptionSpec {
         path: "log.format",
-        kind: Kind::OneOf(&["text", "json"]),
+        kind: ValueKind::OneOf(&["text", "json"]),
         default: "\"text\"",
         about: "lines for a reader, or one JSON object a line",
     },
-    Item {
+    OptionSpec {
         path: "log.level",
-        kind: Kind::OneOf(LEVELS),
+        kind: ValueKind::OneOf(LEVELS),
         default: "\"info\"",
         about: "the least grave lines that are written",
     },
-    Item {
+    OptionSpec {
         path: "log.levels",
-        kind: Kind::Map(SUBSYSTEMS, LEVELS),
+        kind: ValueKind::Map(SUBSYSTEMS, LEVELS),
         default: "{}",
         about: "another level for a subsystem",
     },
-    Item {
+    OptionSpec {
         path: "log.like_lines",
-        kind: Kind::Count(1, 1_000_000),
+        kind: ValueKind::Count(1, 1_000_000),
         default: "100",
         about: "lines from one place of the program that are written within `log.window`; what is left out is counted",
     },
-    Item {
+    OptionSpec {
         path: "log.window",
-        kind: Kind::Time(Duration::from_millis(100), Duration::from_secs(3600)),
+        kind: ValueKind::Time(Duration::from_millis(100), Duration::from_secs(3600)),
         default: "\"1s\"",
         about: "the time over which like lines are counted",
     },
-    Item {
+    OptionSpec {
         path: "peers.advertise",
-        kind: Kind::Address,
+        kind: ValueKind::Address,
         default: "null",
         about: "where other nodes reach `peers.listen`; the same address where it is not given",
     },
-    Item {
+    OptionSpec {
         path: "peers.cluster",
-        kind: Kind::Text(32),
+        kind: ValueKind::Text(32),
         default: "\"walkpick\"",
         about: "datagrams of a cluster with another name are dropped",
     },
-    Item {
+    OptionSpec {
         path: "peers.dissemination",
-        kind: Kind::OneOf(&["off", "on"]),
+        kind: ValueKind::OneOf(&["off", "on"]),
         default: "\"off\"",
         about: "whether entries and states of publishers reach this node and go on from it; at all nodes of a cluster or at none",
     },
-    Item {
+    OptionSpec {
         path: "peers.hold",
-        kind: Kind::Time(Duration::from_secs(1), Duration::from_secs(3600)),
+        kind: ValueKind::Time(Duration::from_secs(1), Duration::from_secs(3600)),
         default: "\"10s\"",
         about: "fewer nodes are believed once views have agreed on them for so long",
     },
-    Item {
+    OptionSpec {
         path: "peers.listen",
-        kind: Kind::Address,
+        kind: ValueKind::Address,
         default: "null",
         about: "where this node meets its peers, by UDP; without it it meets nobody",
     },
-    Item {
+    OptionSpec {
         path: "peers.memory",
-        kind: Kind::Time(Duration::from_secs(10), Duration::from_secs(24 * 3600)),
+        kind: ValueKind::Time(Duration::from_secs(10), Duration::from_secs(24 * 3600)),
         default: "\"5m\"",
         about: "for so long no fewer nodes are believed than half of the most that were",
     },
-    Item {
+    OptionSpec {
         path: "peers.probe_every",
-        kind: Kind::Time(Duration::from_millis(100), Duration::from_secs(60)),
+        kind: ValueKind::Time(Duration::from_millis(100), Duration::from_secs(60)),
         default: "\"400ms\"",
         about: "how often this node looks whether a peer is there",
     },
-    Item {
+    OptionSpec {
         path: "peers.probe_timeout",
-        kind: Kind::Time(Duration::from_millis(10), Duration::from_secs(30)),
+        kind: ValueKind::Time(Duration::from_millis(10), Duration::from_secs(30)),
         default: "\"180ms\"",
         about: "an answer that takes longer is asked for by way of others; at the most half of `peers.probe_every`",
     },
-    Item {
+    OptionSpec {
         path: "peers.region",
-        kind: Kind::Text(PLACE),
+        kind: ValueKind::Text(MAX_PLACE_NAME_BYTES),
         default: "null",
         about: "the region where this node runs, as its peers are told; short, as each datagram carries it twice",
     },
-    Item {
+    OptionSpec {
         path: "peers.seeds",
-        kind: Kind::Addresses,
+        kind: ValueKind::Addresses,
         default: "[]",
         about: "where other nodes may be met; any of them may be down",
     },
-    Item {
+    OptionSpec {
         path: "peers.site",
-        kind: Kind::Text(PLACE),
+        kind: ValueKind::Text(MAX_PLACE_NAME_BYTES),
         default: "null",
         about: "the site where this node runs: what fails together within a zone",
     },
-    Item {
+    OptionSpec {
         path: "peers.zone",
-        kind: Kind::Text(PLACE),
+        kind: ValueKind::Text(MAX_PLACE_NAME_BYTES),
         default: "null",
         about: "the zone where this node runs: what fails together within a region",
     },
 ];
 
-impl Kind {
-    /// What a message says that it expects; the reference page says the same.
+impl ValueKind {
+    /// The expected value as messages and the reference page describe it.
     pub fn expected(&self) -> String {
         let words = |words: &[&str]| words.iter().map(|w| format!("`{w}`")).collect::<Vec<_>>().join(", ");
         let time = |time| humantime::format_duration(time);
         match self {
             Self::OneOf(choices) => format!("one of {}", words(choices)),
-            Self::Count(least, most) => format!("a whole number from {least} to {most}"),
-            Self::Text(most) => format!("a text of 1 to {most} bytes"),
+            Self::Count(min, max) => format!("a whole number from {min} to {max}"),
+            Self::Text(max) => format!("a text of 1 to {max} bytes"),
             Self::Address => "an address and port".to_owned(),
             Self::Addresses => "a list of addresses and ports".to_owned(),
-            Self::Time(least, most) => format!("a time as text from `{}` to `{}`", time(*least), time(*most)),
+            Self::Time(min, max) => format!("a time as text from `{}` to `{}`", time(*min), time(*max)),
             Self::Map(names, choices) => {
                 format!("an object of names among {}, each with one of {}", words(names), words(choices))
             }
@@ -300,10 +301,10 @@
     }
 
     fn check(&self, place: &str, value: &Value, faults: &mut Vec<Fault>) {
-        let right = match self {
+        let valid = match self {
             Self::OneOf(choices) => value.as_str().is_some_and(|text| choices.contains(&text)),
-            Self::Count(least, most) => value.as_u64().is_some_and(|count| (*least..=*most).contains(&count)),
-            Self::Text(most) => value.as_str().is_some_and(|text| (1..=*most).contains(&text.len())),
+            Self::Count(min, max) => value.as_u64().is_some_and(|count| (*min..=*max).contains(&count)),
+            Self::Text(max) => value.as_str().is_some_and(|text| (1..=*max).contains(&text.len())),
             Self::Address => value.as_str().is_some_and(|text| text.parse::<SocketAddr>().is_ok()),
             Self::Addresses => value.as_array().is_some_and(|list| {
                 for (i, value) in list.iter().enumerate() {
@@ -311,9 +312,9 @@
                 }
                 true
             }),
-            Self::Time(least, most) => {
+            Self::Time(min, max) => {
                 let time = value.as_str().and_then(|text| humantime::parse_duration(text).ok());
-                time.is_some_and(|time| (*least..=*most).contains(&time))
+                time.is_some_and(|time| (*min..=*max).contains(&time))
             }
             Self::Map(names, choices) => match value.as_object() {
                 None => false,
@@ -323,37 +324,37 @@
                         if names.contains(&name.as_str()) {
                             Self::OneOf(choices).check(&place, value, faults);
                         } else {
-                            faults.push(unknown(place, name, names.iter().copied()));
+                            faults.push(unknown_key(place, name, names.iter().copied()));
                         }
                     }
                     true
                 }
             },
         };
-        if !right {
+        if !valid {
             faults.push(Fault::at(place, Some(value), self.expected()));
         }
     }
 }
 
-/// A name that nothing has, with the one that was probably meant.
-fn unknown<'a>(place: String, name: &str, known: impl Iterator<Item = &'a str>) -> Fault {
-    const LIKE: f64 = 0.7;
+/// The fault for an unknown key; suggests the most similar known key.
+fn unknown_key<'a>(place: String, name: &str, known: impl Iterator<Item = &'a str>) -> Fault {
+    const MIN_SIMILARITY: f64 = 0.7;
     let known: Vec<_> = known.collect::<BTreeSet<_>>().into_iter().collect();
-    let likeness = |other: &&str| strsim::jaro_winkler(name, other);
-    let nearest = known.iter().copied().max_by(|a, b| likeness(a).total_cmp(&likeness(b)));
-    let expected = match nearest.filter(|nearest| likeness(nearest) >= LIKE) {
+    let similarity = |other: &&str| strsim::jaro_winkler(name, other);
+    let nearest = known.iter().copied().max_by(|a, b| similarity(a).total_cmp(&similarity(b)));
+    let expected = match nearest.filter(|nearest| similarity(nearest) >= MIN_SIMILARITY) {
         Some(nearest) => format!("a known name: did you mean `{nearest}`?"),
         None => format!("one of the names {}", known.join(", ")),
     };
     Fault::new(place, "an unknown name", expected)
 }
 
-/// Reads the section, which may be missing. What is wrong is added to `faults`.
+/// Reads the section, which may be absent, and adds its faults to `faults`.
 pub fn read(value: Option<&Value>, faults: &mut Vec<Fault>) -> Section {
     let Some(value) = value else { return Section::default() };
     let before = faults.len();
-    walk("walkpick", "", value, faults);
+    check_object("walkpick", "", value, faults);
     if faults.len() > before {
         return Section::default();
     }
@@ -380,23 +381,23 @@
     section
 }
 
-/// Checks an object of the section. `path` is what stands before its names in [`ITEMS`].
-fn walk(place: &str, path: &str, value: &Value, faults: &mut Vec<Fault>) {
+/// Checks an object of the section. `path` is the prefix of its keys in [`OPTIONS`].
+fn check_object(place: &str, path: &str, value: &Value, faults: &mut Vec<Fault>) {
     let Some(fields) = value.as_object() else {
         return faults.push(Fault::at(place, Some(value), "an object"));
     };
     for (name, value) in fields {
         let (place, path) = (format!("{place}.{name}"), format!("{path}{name}"));
-        let below = format!("{path}.");
-        if let Some(item) = ITEMS.iter().find(|item| item.path == path) {
+        let prefix = format!("{path}.");
+        if let Some(item) = OPTIONS.iter().find(|item| item.path == path) {
             item.kind.check(&place, value, faults);
-        } else if ITEMS.iter().any(|item| item.path.starts_with(&below)) {
-            walk(&place, &below, value, faults);
+        } else if OPTIONS.iter().any(|item| item.path.starts_with(&prefix)) {
+            check_object(&place, &prefix, value, faults);
         } else {
             let parent = &path[..path.len() - name.len()];
-            let here = ITEMS.iter().filter_map(|item| item.path.strip_prefix(parent));
-            let here = here.map(|rest| rest.split('.').next().unwrap_or(rest));
-            faults.push(unknown(place, name, here));
+            let siblings = OPTIONS.iter().filter_map(|item| item.path.strip_prefix(parent));
+            let siblings = siblings.map(|rest| rest.split('.').next().unwrap_or(rest));
+            faults.push(unknown_key(place, name, siblings));
         }
     }
 }
--- a/src/net/config/section/tests.rs
+++ b/src/net/config/section/tests.rs
@@ -8,12 +8,12 @@
 }
 
 /// Leaves of a value by path; an object that is an item itself is a leaf.
-fn leaves(path: &str, value: &Value, found: &mut BTreeMap<String, Value>) {
+fn collect_leaves(path: &str, value: &Value, found: &mut BTreeMap<String, Value>) {
     match value.as_object() {
-        Some(fields) if !ITEMS.iter().any(|item| item.path == path) => {
+        Some(fields) if !OPTIONS.iter().any(|item| item.path == path) => {
             for (name, value) in fields {
-                let below = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-                leaves(&below, value, found);
+                let child_path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
+                collect_leaves(&child_path, value, found);
             }
         }
         _ => drop(found.insert(path.to_owned(), value.clone())),
@@ -21,19 +21,19 @@
 }
 
 #[test]
-fn the_declared_values_are_those_of_the_types_with_their_defaults() {
+fn declared_options_match_the_config_types_and_their_defaults() {
     let mut typed = BTreeMap::new();
-    leaves("", &serde_json::to_value(Section::default()).unwrap(), &mut typed);
-    let declared = ITEMS.iter();
+    collect_leaves("", &serde_json::to_value(Section::default()).unwrap(), &mut typed);
+    let declared = OPTIONS.iter();
     let declared = declared.map(|item| (item.path.to_owned(), serde_json::from_str(item.default).unwrap()));
     assert_eq!(declared.collect::<BTreeMap<_, Value>>(), typed);
 }
 
 #[test]
-fn the_reference_page_lists_every_value_and_no_other() {
+fn the_reference_page_lists_exactly_the_declared_options() {
     let page = include_str!("../../../../docs/configuration.md");
     let rows = page.lines().filter(|line| line.starts_with("| `walkpick."));
-    let declared = ITEMS.iter().map(|item| {
+    let declared = OPTIONS.iter().map(|item| {
         let (path, expected, about) = (item.path, item.kind.expected(), item.about);
         format!("| `walkpick.{path}` | {expected} | `{}` | {about} |", item.default)
     });
@@ -42,17 +42,17 @@
 }
 
 #[test]
-fn a_section_is_read_with_defaults_for_what_it_lacks() {
+fn missing_options_take_their_defaults() {
     let mut faults = Vec::new();
     let section = json!({"log": {"format": "json", "levels": {"request": "off"}, "window": "250ms"}});
     let log = read(Some(&section), &mut faults).log;
-    assert_eq!((log.format, log.level, log.like_lines), (Format::Json, Level::Info, 100));
-    assert_eq!((log.window, log.levels["request"]), (Duration::from_millis(250), Level::Off));
+    assert_eq!((log.format, log.level, log.like_lines), (LogFormat::Json, LogLevel::Info, 100));
+    assert_eq!((log.window, log.levels["request"]), (Duration::from_millis(250), LogLevel::Off));
     assert_eq!(faults, []);
 }
 
 #[test]
-fn all_faults_of_a_section_are_told_at_once() {
+fn all_faults_of_a_section_are_reported_at_once() {
     let section = json!({"log": {"levle": "info", "like_lines": -3, "window": "-1s",
                                      "levels": {"polcy": "info", "request": "loud"}}, "zzz": 1});
     assert_eq!(
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_location_is_told_as_far_as_it_is_configured() {
+fn a_location_with_missing_parts_leaves_them_empty() {
     let mut faults = Vec::new();
     let section = json!({"peers": {"listen": "127.0.0.1:7946", "region": "eu", "site": "p4"}});
     let location = read(Some(&section), &mut faults).peers.location();
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! The client of discovery: carries out the calls that the subscription's schedule begins, and hands on the lists.
+//! The client of discovery: makes the calls that the subscription schedules and publishes the lists received.
 
 mod call;
 pub mod listing;
@@ -13,59 +13,59 @@
 use tracing::{debug, info, warn};
 use walkpick::policy::subscription::{Call, CallId, Subscription};
 
-/// How a call ended.
-struct Ended {
+/// The result of a call.
+struct FinishedCall {
     id: CallId,
-    began: Instant,
+    started_at: Instant,
     outcome: Result<(Listing, Connection), CallError>,
 }
 
-/// The client of discovery. `publish` hands on a list; it says `false` where nobody takes them any more.
+/// The client of discovery. `publish` passes a list on; it returns `false` if there is no receiver any more.
 pub struct DiscoveryClient<Publish> {
-    /// Where discovery listens: a reload of the configuration moves it.
+    /// Discovery's address, which a reload of the configuration may change.
     address: watch::Receiver<SocketAddr>,
     subscription: Subscription,
     publish: Publish,
-    calls: JoinSet<Ended>,
-    /// Of the calls that are out.
+    calls: JoinSet<FinishedCall>,
+    /// Handles of the outstanding calls.
     handles: HashMap<CallId, AbortHandle>,
-    /// Carries the next call.
-    kept: Option<Connection>,
+    /// An idle connection for the next call.
+    connection: Option<Connection>,
 }
 
 impl<Publish: Fn(Listing) -> bool> DiscoveryClient<Publish> {
     pub fn new(address: watch::Receiver<SocketAddr>, subscription: Subscription, publish: Publish) -> Self {
         let (calls, handles) = Default::default();
-        Self { address, subscription, publish, calls, handles, kept: None }
+        Self { address, subscription, publish, calls, handles, connection: None }
     }
 
-    /// Calls discovery, at whichever address holds, for as long as the node runs.
+    /// Calls discovery at its current address for as long as the node runs.
     pub async fn run(mut self) {
-        let (begins, mut answers) = mpsc::unbounded_channel();
-        let mut moves = self.address.clone();
-        let mut address = *moves.borrow_and_update();
+        let (answer_begins, mut begun_answers) = mpsc::unbounded_channel();
+        let mut address_changes = self.address.clone();
+        let mut address = *address_changes.borrow_and_update();
         loop {
             while let Some(call) = self.subscription.begin(Instant::now().into_std()) {
-                self.start(call, address, begins.clone());
+                self.start(call, address, answer_begins.clone());
             }
             let due = Instant::from_std(self.subscription.due_at());
             tokio::select! {
                 biased;
-                moved = moves.changed() => {
-                    if moved.is_err() {
+                changed = address_changes.changed() => {
+                    if changed.is_err() {
                         return;
                     }
-                    address = *moves.borrow_and_update();
-                    self.moved();
+                    address = *address_changes.borrow_and_update();
+                    self.address_changed();
                 }
-                Some(ended) = self.calls.join_next() => {
-                    // One that was aborted is of no use any more.
-                    let Ok(ended) = ended else { continue };
-                    if !self.ended(ended) {
+                Some(finished) = self.calls.join_next() => {
+                    // An aborted call is ignored.
+                    let Ok(call) = finished else { continue };
+                    if !self.call_finished(call) {
                         return;
                     }
                 }
-                Some(id) = answers.recv() => {
+                Some(id) = begun_answers.recv() => {
                     self.subscription.answer_begins(id, Instant::now().into_std());
                 }
                 () = sleep_until(due) => {}
@@ -73,65 +73,69 @@
         }
     }
 
-    fn start(&mut self, call: Call, address: SocketAddr, begins: mpsc::UnboundedSender<CallId>) {
+    fn start(&mut self, call: Call, address: SocketAddr, answer_begins: mpsc::UnboundedSender<CallId>) {
         if let Some(handle) = call.replaces.and_then(|id| self.handles.remove(&id)) {
             handle.abort();
         }
-        let (began, kept) = (Instant::now(), self.kept.take());
-        debug!(target: "discovery", after = call.after, kept = kept.is_some(), "a call begins");
-        // Whoever hears of it only goes when the node does.
-        let answer_begins = move || {
-            let _ = begins.send(call.id);
+        let (started_at, kept) = (Instant::now(), self.connection.take());
+        debug!(target: "discovery", after = call.after, kept = kept.is_some(), "discovery call started");
+        // The receiver lives as long as the node.
+        let on_answer_begins = move || {
+            let _ = answer_begins.send(call.id);
         };
         let handle = self.calls.spawn_local(async move {
-            Ended { id: call.id, began, outcome: perform(call, address, kept, answer_begins).await }
+            FinishedCall {
+                id: call.id,
+                started_at,
+                outcome: perform(call, address, kept, on_answer_begins).await,
+            }
         });
         self.handles.insert(call.id, handle);
     }
 
-    /// Calls that are out are void, and their connections close.
-    fn moved(&mut self) {
+    /// Aborts outstanding calls and closes their connections.
+    fn address_changed(&mut self) {
         self.calls = JoinSet::new();
         self.handles.clear();
-        self.kept = None;
+        self.connection = None;
         self.subscription.moved(Instant::now().into_std());
     }
 
-    /// `false` where nobody takes lists any more.
-    fn ended(&mut self, ended: Ended) -> bool {
-        let Ended { id, began, outcome } = ended;
+    /// Returns `false` if there is no receiver for lists any more.
+    fn call_finished(&mut self, call: FinishedCall) -> bool {
+        let FinishedCall { id, started_at, outcome } = call;
         self.handles.remove(&id);
-        let out_ms = began.elapsed().as_millis() as u64;
+        let out_ms = started_at.elapsed().as_millis() as u64;
         match outcome {
-            Ok((listing, connection)) => self.answered(id, listing, connection, out_ms),
+            Ok((listing, connection)) => self.call_succeeded(id, listing, connection, out_ms),
             Err(error) => {
-                self.failed(id, &error, out_ms);
+                self.call_failed(id, &error, out_ms);
                 true
             }
         }
     }
 
-    fn answered(&mut self, id: CallId, listing: Listing, connection: Connection, out_ms: u64) -> bool {
+    fn call_succeeded(&mut self, id: CallId, listing: Listing, connection: Connection, out_ms: u64) -> bool {
         let seq = listing.seq;
         let verdict = self.subscription.answered(id, seq, Instant::now().into_std());
-        debug!(target: "discovery", seq, out_ms, accepted = verdict.accepted, "a call is answered");
+        debug!(target: "discovery", seq, out_ms, accepted = verdict.accepted, "discovery call answered");
         if verdict.failures > 0 {
-            info!(target: "discovery", failures = verdict.failures, seq, out_ms, "discovery answers again");
+            info!(target: "discovery", failures = verdict.failures, seq, out_ms, "discovery answers again after failed calls");
         }
         for handle in verdict.obsolete.iter().filter_map(|id| self.handles.remove(id)) {
             handle.abort();
         }
-        self.kept = Some(connection);
+        self.connection = Some(connection);
         !verdict.accepted || (self.publish)(listing)
     }
 
-    fn failed(&mut self, id: CallId, error: &CallError, out_ms: u64) {
+    fn call_failed(&mut self, id: CallId, error: &CallError, out_ms: u64) {
         let failures = self.subscription.failed(id);
-        // An agent that is down is called many times a second.
+        // A failing agent is called many times a second, so only some of the failures are logged as warnings.
         if failures.is_power_of_two() {
-            warn!(target: "discovery", %error, out_ms, failures, "a call failed");
+            warn!(target: "discovery", %error, out_ms, failures, "discovery call failed");
         } else {
-            debug!(target: "discovery", %error, out_ms, failures, "a call failed");
+            debug!(target: "discovery", %error, out_ms, failures, "discovery call failed");
         }
     }
 }
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call of discovery, over the kept connection where there is one.
+//! One call of discovery, over an idle connection if there is one.
 
 use super::listing::Listing;
 use crate::net::stream::Stream;
@@ -17,34 +17,34 @@
 use tokio::time::timeout;
 use walkpick::policy::subscription::{Call, CALL_LIMIT, WAIT};
 
-/// So much of a call's time is for what has come already: a node that stood still finds its time over and a long list
-/// half read.
-const LAST_LOOK: Duration = Duration::from_millis(50);
-/// A list longer than this is no list.
-const LARGEST: usize = 8 << 20;
+/// The part of a call's time limit that is reserved for reading what has already arrived: a node that stalled
+/// finds the time limit over and a long list half read.
+const FINAL_READ_GRACE: Duration = Duration::from_millis(50);
+/// Maximum size of a list.
+const MAX_LIST_BYTES: usize = 8 << 20;
 
-/// Why a call brought no list.
+/// Why a call returned no list.
 #[derive(Debug, Error)]
 pub enum CallError {
     #[error("{0}")]
     Connect(#[from] std::io::Error),
-    #[error("no connection in time")]
-    NotConnected,
+    #[error("connect timeout")]
+    ConnectTimeout,
     #[error("{0}")]
     Http(#[from] hyper::Error),
     #[error("{0}")]
     Uri(#[from] hyper::http::Error),
     #[error("{0}")]
     Body(#[from] Box<dyn std::error::Error + Send + Sync>),
-    #[error("answered {0}")]
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    #[error("not a list: {0}")]
+    #[error("invalid server list: {0}")]
     Malformed(#[from] serde_json::Error),
-    #[error("no answer in time")]
-    Overdue,
+    #[error("answer timeout")]
+    AnswerTimeout,
 }
 
-/// An open connection; its driving task ends with it.
+/// An open connection; dropping it ends the task that drives it.
 pub struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     task: AbortHandle,
@@ -56,29 +56,29 @@
     }
 }
 
-/// Carries a call out, over `kept` where discovery has not closed it meanwhile. Returns the connection with the list:
-/// it may carry another call. `answer_begins` is called when the answer begins to come. A call ends within the sum of
-/// its times, however little of an answer comes.
+/// Makes a call, over `kept` unless discovery has closed that connection meanwhile. Returns the list with the
+/// connection, which can be reused. `on_answer_begins` is called when the answer starts to arrive. A call
+/// ends within the sum of its time limits, however slowly the answer arrives.
 pub async fn perform(
     call: Call,
     address: SocketAddr,
     kept: Option<Connection>,
-    answer_begins: impl FnOnce(),
+    on_answer_begins: impl FnOnce(),
 ) -> Result<(Listing, Connection), CallError> {
-    let connecting = usable_or_new(address, kept);
+    let connecting = reuse_or_connect(address, kept);
     let connected = timeout(call.connect_within, connecting).await;
-    let mut connection = connected.unwrap_or(Err(CallError::NotConnected))?;
+    let mut connection = connected.unwrap_or(Err(CallError::ConnectTimeout))?;
     let listing = {
-        let mut answer = pin!(ask(&mut connection, address, call.after, answer_begins));
-        match timeout(CALL_LIMIT - LAST_LOOK, &mut answer).await {
+        let mut answer = pin!(request_list(&mut connection, address, call.after, on_answer_begins));
+        match timeout(CALL_LIMIT - FINAL_READ_GRACE, &mut answer).await {
             Ok(answer) => answer,
-            Err(_) => timeout(LAST_LOOK, answer).await.unwrap_or(Err(CallError::Overdue)),
+            Err(_) => timeout(FINAL_READ_GRACE, answer).await.unwrap_or(Err(CallError::AnswerTimeout)),
         }
     }?;
     Ok((listing, connection))
 }
 
-async fn usable_or_new(address: SocketAddr, kept: Option<Connection>) -> Result<Connection, CallError> {
+async fn reuse_or_connect(address: SocketAddr, kept: Option<Connection>) -> Result<Connection, CallError> {
     if let Some(mut kept) = kept {
         if kept.sender.ready().await.is_ok() {
             return Ok(kept);
@@ -91,21 +91,21 @@
     let stream = Stream::from(TcpStream::connect(address).await?);
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let task = tokio::task::spawn_local(async move {
-        // How it ends shows at the call that is out, or at the next one.
+        // An error shows in the outstanding call, or in the next one.
         let _ = connection.await;
     });
     Ok(Connection { sender, task: task.abort_handle() })
 }
 
-async fn ask(
+async fn request_list(
     connection: &mut Connection,
     address: SocketAddr,
     after: Option<u64>,
-    answer_begins: impl FnOnce(),
+    on_answer_begins: impl FnOnce(),
 ) -> Result<Listing, CallError> {
     let path = match after {
         Some(after) => format!("/v1/servers?after={after}&wait_ms={}", WAIT.as_millis()),
-        // Without a version the call does not wait.
+        // Without a version discovery answers immediately.
         None => "/v1/servers".to_owned(),
     };
     let request = Request::get(path).header(HOST, address.to_string()).body(Empty::new())?;
@@ -113,7 +113,7 @@
     if response.status() != StatusCode::OK {
         return Err(CallError::Status(response.status()));
     }
-    answer_begins();
-    let body = Limited::new(response.into_body(), LARGEST).collect().await?.to_bytes();
+    on_answer_begins();
+    let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await?.to_bytes();
     Ok(serde_json::from_slice(&body)?)
 }
--- a/src/net/discovery/listing.rs
+++ b/src/net/discovery/listing.rs
@@ -1,4 +1,4 @@
-//! Discovery's answers, read into the module's words.
+//! Parses discovery's answers into the module's types.
 
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
@@ -6,7 +6,7 @@
 use tracing::warn;
 use walkpick::{Availability, ServerEntry, Timestamp};
 
-/// Discovery's answer: the whole list, or what changed.
+/// Discovery's answer: the full list, or the changes.
 #[derive(Debug, Default, Deserialize)]
 pub struct Listing {
     pub seq: u64,
@@ -15,12 +15,12 @@
     pub hosts: Vec<Host>,
 }
 
-/// One entry that cannot be read must not keep the node from what the others say: a drain that it never hears of.
+/// An invalid entry must not hide the others: the node would miss a drain.
 fn read_hosts<'de, D: Deserializer<'de>>(list: D) -> Result<Vec<Host>, D::Error> {
-    Ok(Vec::<Value>::deserialize(list)?.into_iter().filter_map(Host::read).collect())
+    Ok(Vec::<Value>::deserialize(list)?.into_iter().filter_map(Host::parse).collect())
 }
 
-/// One cache server in it.
+/// One cache server in the list.
 #[derive(Debug, Default, Deserialize)]
 pub struct Host {
     host: String,
@@ -34,25 +34,25 @@
 }
 
 impl Host {
-    /// Of an entry that cannot be read only the name counts: that server is to get nothing new.
-    fn read(entry: Value) -> Option<Self> {
+    /// Of an invalid entry only the name is used: that server gets no new work.
+    fn parse(entry: Value) -> Option<Self> {
         let name = entry.get("host").and_then(Value::as_str).map(str::to_owned);
         match serde_json::from_value(entry) {
             Ok(host) => Some(host),
             Err(error) => {
-                let server = name.as_deref().unwrap_or("no name");
-                warn!(target: "discovery", server, %error, "an entry cannot be read: its server gets nothing new");
+                let server = name.as_deref().unwrap_or("(unnamed)");
+                warn!(target: "discovery", server, %error, "invalid entry: its server gets no new requests");
                 Some(Self { host: name?, health: "draining".to_owned(), ..Self::default() })
             }
         }
     }
 
-    /// Where it listens; one that is gone may have no address.
+    /// The server's address; a removed server may have none.
     pub fn dial(&self) -> Option<SocketAddr> {
         self.dial
     }
 
-    /// The entry as the module knows it.
+    /// Converts the entry to the module's type.
     pub fn entry(&self) -> ServerEntry {
         let started = self.born_ms.filter(|&at| at > 0);
         ServerEntry {
@@ -63,7 +63,7 @@
             availability: match self.health.as_str() {
                 "ready" => Availability::Ready,
                 "gone" => Availability::Gone,
-                // Draining, or a state that this version does not know: keep away from that server.
+                // Draining, or a state unknown to this version: send no new work to that server.
                 _ => Availability::Draining,
             },
             weight: self.share.filter(|share| share.is_finite() && *share >= 0.0).unwrap_or(1.0),
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -2,64 +2,64 @@
 use std::time::Duration;
 use walkpick::policy::subscription::{Delivery, CALL_LIMIT};
 
-/// A discovery that answers only when it is told to, and says what it has done.
-struct Slow {
+/// A discovery server that answers when the test says so, and reports what it has done.
+struct ScriptedDiscovery {
     address: SocketAddr,
     asked: std::sync::mpsc::Receiver<()>,
     answer: std::sync::mpsc::Sender<()>,
     answered: std::sync::mpsc::Receiver<()>,
 }
 
-/// Its answer has so many entries.
-fn slow_discovery(entries: usize) -> Slow {
+/// Starts a discovery server whose answer has this many entries.
+fn scripted_discovery(entries: usize) -> ScriptedDiscovery {
     use std::io::{BufRead, BufReader, Write};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (says_asked, asked) = std::sync::mpsc::channel();
-    let (answer, told) = std::sync::mpsc::channel();
-    let (says_answered, answered) = std::sync::mpsc::channel();
+    let (asked_tx, asked) = std::sync::mpsc::channel();
+    let (answer, answer_rx) = std::sync::mpsc::channel();
+    let (answered_tx, answered) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let mut request = BufReader::new(stream.try_clone().unwrap()).lines();
         while request.next().is_some_and(|line| !line.unwrap().is_empty()) {}
-        says_asked.send(()).unwrap();
-        told.recv().unwrap();
+        asked_tx.send(()).unwrap();
+        answer_rx.recv().unwrap();
         let host = r#"{"host":"s-5be2a07c","dial":"10.1.0.18:7070","site":"a","class":"m2","block":3,"health":"ready"}"#;
         let list = format!(r#"{{"seq":7,"whole":false,"hosts":[{}]}}"#, vec![host; entries].join(","));
         write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()).unwrap();
-        says_answered.send(()).unwrap();
-        // The connection stays open until the test is over.
-        let _ = told.recv();
+        answered_tx.send(()).unwrap();
+        // Keeps the connection open until the end of the test.
+        let _ = answer_rx.recv();
     });
-    Slow { address, asked, answer, answered }
+    ScriptedDiscovery { address, asked, answer, answered }
 }
 
-// A node with little of a core looks late at what has long come: by then its own times are over, and the answer counts
-// all the same. To take it for lost would make such a node call again and again, and never learn a thing.
+// Guards against a node with little processor time that reads an answer long after it arrived and takes it
+// for lost because its own time limit is over: it would call again and again and never receive a list.
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_came_in_time_is_taken_however_late_the_node_looks() {
-    /// As many as the program has to bear: such a list takes many looks to read.
-    const MANY: usize = 1_024;
-    for entries in [0, 1, MANY] {
-        assert!(told_after_a_stall(entries).await, "{entries} entries");
+async fn an_answer_received_in_time_is_accepted_however_late_the_node_reads_it() {
+    /// The largest list that the program must support; it takes many reads.
+    const MAX_ENTRIES: usize = 1_024;
+    for entries in [0, 1, MAX_ENTRIES] {
+        assert!(list_received_after_stall(entries).await, "{entries} entries");
     }
 }
 
-/// Whether a call of a node that stands still while discovery answers brings the answer.
-async fn told_after_a_stall(entries: usize) -> bool {
-    let discovery = slow_discovery(entries);
+/// Whether a call returns the answer that arrived while the node was stalled.
+async fn list_received_after_stall(entries: usize) -> bool {
+    let discovery = scripted_discovery(entries);
     let now = Instant::now().into_std();
     let call = Subscription::new(Delivery::Polled, Some(6), 1, now).begin(now).expect("a call is due");
-    let running = tokio::task::LocalSet::new();
-    let calling = running.spawn_local(perform(call, discovery.address, None, || ()));
-    let outcome = running
+    let local = tokio::task::LocalSet::new();
+    let calling = local.spawn_local(perform(call, discovery.address, None, || ()));
+    let outcome = local
         .run_until(async {
-            // Never idle: the paused clock goes on by itself only when the runtime is.
+            // Never idle: the paused clock advances on its own only while the runtime is idle.
             while discovery.asked.try_recv().is_err() {
                 tokio::task::yield_now().await;
             }
             discovery.answer.send(()).unwrap();
-            // The node stands still meanwhile.
+            // The node is stalled meanwhile.
             discovery.answered.recv_timeout(Duration::from_secs(60)).unwrap();
             tokio::time::advance(CALL_LIMIT * 10).await;
             while !calling.is_finished() {
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -2,8 +2,8 @@
 //! module's actions are carried out in order; nothing is picked, repeated or refused here.
 
 use crate::net::discovery::listing::Listing;
-use crate::net::server::{Answer, Taken, Word};
-use crate::net::upstream::{Ended, Message, Start, Upstream};
+use crate::net::server::{Answer, ClientEvent, ClientRequest};
+use crate::net::upstream::{AttemptResult, StartCondition, Upstream, UpstreamRequest};
 use std::cell::Cell;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -21,7 +21,7 @@
     ServerId, ServerList, Status, Timestamp,
 };
 
-/// Taken off a client's time: it counts from when the client sent, and the answer has its way back to go.
+/// ClientRequest off a client's time: it counts from when the client sent, and the answer has its way back to go.
 const MARGIN: Duration = Duration::from_millis(5);
 /// How long past a request's time, less the margin, the module has for its own answer.
 const GUARD: Duration = Duration::from_millis(4);
@@ -29,14 +29,14 @@
 /// What the node's other parts tell the driver.
 #[derive(Debug)]
 pub enum Input {
-    Client(Word),
+    Client(ClientEvent),
     Servers(Listing),
     /// So many nodes there are, as far as this one may rely on it.
     Nodes(u32),
     Ended {
         id: RequestId,
         attempt: u32,
-        ended: Ended,
+        ended: AttemptResult,
     },
     /// The node stops: every answer is due by then.
     Stopping {
@@ -66,7 +66,7 @@
 
 struct InFlight {
     span: Span,
-    message: Rc<Message>,
+    message: Rc<UpstreamRequest>,
     kind: Name,
     at: Instant,
     aim: Duration,
@@ -177,8 +177,8 @@
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Client(Word::Taken(taken)) => self.request(*taken),
-            Input::Client(Word::Left(ticket)) => {
+            Input::Client(ClientEvent::Request(taken)) => self.request(*taken),
+            Input::Client(ClientEvent::Disconnected(ticket)) => {
                 let id = request_id(ticket);
                 if let Some(open) = self.in_flight.get_mut(&id).filter(|open| open.answer.is_some()) {
                     open.answer = None;
@@ -210,8 +210,8 @@
         }
         for (host, entry) in listing.hosts.iter().zip(entries.iter()) {
             match entry.availability {
-                Availability::Gone => self.upstream.forget(&entry.id),
-                _ => self.upstream.learn(entry, host.dial()),
+                Availability::Gone => self.upstream.remove(&entry.id),
+                _ => self.upstream.apply(entry, host.dial()),
             }
         }
         self.list = ListInForce { seq: listing.seq, since: Instant::now() };
@@ -231,19 +231,20 @@
         entries
     }
 
-    fn request(&mut self, taken: Taken) {
-        let id = request_id(taken.ticket);
+    fn request(&mut self, taken: ClientRequest) {
+        let id = request_id(taken.number);
         // A node that is behind is behind with its answers, too: they are due that much sooner.
-        let until = bound(taken.at + taken.patience.saturating_sub(MARGIN + taken.behind), self.answer_by);
-        let client_id = taken.message.id.to_str().unwrap_or("?");
+        let until =
+            bound(taken.received_at + taken.timeout.saturating_sub(MARGIN + taken.lag), self.answer_by);
+        let client_id = taken.upstream_request.id.to_str().unwrap_or("?");
         let open = InFlight {
-            span: debug_span!(target: "request", "request", id = client_id, ticket = taken.ticket),
-            message: Rc::new(taken.message),
-            kind: taken.kind,
-            at: taken.at,
-            aim: taken.aim,
+            span: debug_span!(target: "request", "request", id = client_id, ticket = taken.number),
+            message: Rc::new(taken.upstream_request),
+            kind: taken.class_name,
+            at: taken.received_at,
+            aim: taken.latency_target,
             answer: Some(taken.answer),
-            over: taken.over,
+            over: taken.finished,
             until,
             attempts: Vec::new(),
         };
@@ -273,7 +274,7 @@
         }
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, ended: Ended) {
+    fn ended(&mut self, id: RequestId, attempt: u32, ended: AttemptResult) {
         let Some(open) = self.in_flight.get_mut(&id) else { return };
         // One that was cancelled meanwhile has ended already.
         let Some(sent) = open.attempts.get_mut(attempt as usize).filter(|sent| sent.task.is_some()) else {
@@ -289,7 +290,7 @@
             reply(open, Answer::Served(body), None);
         }
         let finished = open.answer.is_none();
-        let Ended { status, note, load, .. } = ended;
+        let AttemptResult { status, note, load, .. } = ended;
         self.tidy(&id);
         self.due.push_back(Event::Outcome(Outcome {
             id,
@@ -314,7 +315,7 @@
         };
         let unsent: Vec<_> = open.attempts.iter().enumerate().filter_map(waits).collect();
         for attempt in unsent {
-            self.ended(id.clone(), attempt, Ended::without_answer(Status::Ignored));
+            self.ended(id.clone(), attempt, AttemptResult::without_answer(Status::Ignored));
         }
         self.tidy(id);
     }
@@ -369,7 +370,7 @@
                 if let Some(task) = task {
                     // Its connection closes with it: a server's answer to it would meet the next request.
                     task.abort();
-                    self.ended(id, attempt, Ended::without_answer(Status::Canceled));
+                    self.ended(id, attempt, AttemptResult::without_answer(Status::Canceled));
                 }
             }
             Action::Refuse { id, retry_after, reason } => {
@@ -394,7 +395,8 @@
         let until = open.until.min(at + timeout);
         let by = begin_within.map_or(until, |within| until.min(at + within));
         let begun = Rc::default();
-        let start = Start { over: open.over.clone(), by, begun: Rc::clone(&begun) };
+        let start =
+            StartCondition { request_finished: open.over.clone(), deadline: by, started: Rc::clone(&begun) };
         let (upstream, events) = (self.upstream.clone(), self.events.clone());
         let (message, target) = (open.message.clone(), server.clone());
         let task = tokio::task::spawn_local(async move {
@@ -418,7 +420,7 @@
     /// One line that tells what became of the request: with the log of each node on its way, and no trace of the
     /// sockets, it can be followed by its id.
     fn tell(&self, end: &str, reason: Option<EndReason>) {
-        let Message { id, method, target, .. } = &*self.message;
+        let UpstreamRequest { id, method, target, .. } = &*self.message;
         let (id, after_ms) = (id.to_str().unwrap_or("?"), self.at.elapsed().as_millis() as u64);
         let (class, path) = (self.kind.as_str(), target.as_str());
         let attempts = self.attempts();
@@ -498,8 +500,8 @@
     }
 }
 
-fn request_id(ticket: u64) -> RequestId {
-    RequestId::from(ticket.to_string().as_str())
+fn request_id(number: u64) -> RequestId {
+    RequestId::from(number.to_string().as_str())
 }
 
 #[cfg(test)]
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -15,8 +15,8 @@
     events: UnboundedSender<Input>,
     inputs: UnboundedReceiver<Input>,
     _servers: Vec<TcpListener>,
-    tickets: u64,
-    behind: Duration,
+    next_number: u64,
+    lag: Duration,
 }
 
 const LONG: Duration = Duration::from_secs(600);
@@ -36,44 +36,44 @@
             });
         let known = json!({"seq": 1, "whole": true, "hosts": hosts.collect::<Vec<_>>()});
         driver.restore(serde_json::from_value(known).unwrap());
-        Self { driver, events, inputs, _servers: servers, tickets: 0, behind: Duration::ZERO }
+        Self { driver, events, inputs, _servers: servers, next_number: 0, lag: Duration::ZERO }
     }
 
     fn ask(&mut self, class: usize) -> (RequestId, Receiver<Answer>) {
-        self.tickets += 1;
+        self.next_number += 1;
         let (answer, receiver) = oneshot::channel();
-        let message = crate::net::upstream::Message {
+        let upstream_request = crate::net::upstream::UpstreamRequest {
             method: Method::GET,
             target: "/api/7".parse().unwrap(),
-            id: HeaderValue::from(self.tickets),
+            id: HeaderValue::from(self.next_number),
             idempotency_key: None,
             body: Bytes::new(),
         };
-        self.driver.take(Input::Client(Word::Taken(Box::new(Taken {
-            ticket: self.tickets,
-            at: Instant::now(),
-            behind: self.behind,
-            patience: LONG,
+        self.driver.take(Input::Client(ClientEvent::Request(Box::new(ClientRequest {
+            number: self.next_number,
+            received_at: Instant::now(),
+            lag: self.lag,
+            timeout: LONG,
             class: ClassId(class),
-            kind: "read".into(),
-            aim: LONG,
+            class_name: "read".into(),
+            latency_target: LONG,
             tenant: None,
             key: Some(7),
             expected_work: None,
             write: false,
             client_retry: false,
-            message,
-            over: Rc::default(),
+            upstream_request,
+            finished: Rc::default(),
             answer,
         }))));
         self.driver.handle_due();
-        (request_id(self.tickets), receiver)
+        (request_id(self.next_number), receiver)
     }
 
     fn end(&mut self, id: &RequestId, status: Status) {
         let attempt = self.driver.in_flight[id].attempts.len() as u32 - 1;
         let body = (status == Status::Ok).then(Bytes::new);
-        let ended = Ended { status, note: None, load: LoadReport::default(), body };
+        let ended = AttemptResult { status, note: None, load: LoadReport::default(), body };
         self.driver.take(Input::Ended { id: id.clone(), attempt, ended });
         self.driver.handle_due();
     }
@@ -85,7 +85,7 @@
 
 // Guards against a request that is still out when the kill comes: a client's own patience may be longer.
 #[tokio::test(start_paused = true)]
-async fn whatever_is_out_when_the_node_stops_is_answered_before_its_end() {
+async fn requests_in_flight_at_shutdown_are_answered_before_the_exit() {
     LocalSet::new().run_until(stop_with_all_kinds_out()).await;
 }
 
@@ -131,18 +131,18 @@
 
 // Guards against an answer that is given in time by a node that is too late to write it.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_is_behind_gives_its_answers_sooner_by_as_much() {
+async fn a_lagging_node_answers_earlier_by_its_lag() {
     LocalSet::new()
         .run_until(async {
             let mut rig = Rig::new(1);
-            rig.behind = Duration::from_millis(400);
+            rig.lag = Duration::from_millis(400);
             let (start, (_, mut answer)) = (Instant::now(), rig.ask(1));
             while answer.try_recv().is_err() {
                 rig.driver.step(&mut rig.inputs).await;
             }
-            assert!(start.elapsed() <= LONG - rig.behind, "answered after {:?}", start.elapsed());
+            assert!(start.elapsed() <= LONG - rig.lag, "answered after {:?}", start.elapsed());
             // Nothing is left of a client's patience: what can't be answered in time is given up at once.
-            rig.behind = LONG;
+            rig.lag = LONG;
             assert!(rig.ask(1).1.try_recv().is_ok());
         })
         .await;
@@ -151,7 +151,7 @@
 // Guards against a second final answer, a request that stays open, or a panic, where its deadline, its server's answer
 // and its client's leaving come in one turn, in any order.
 #[tokio::test(start_paused = true)]
-async fn a_deadline_an_answer_and_a_leaving_in_one_turn_end_the_request_once() {
+async fn a_deadline_an_answer_and_a_disconnect_in_one_step_end_the_request_once() {
     LocalSet::new()
         .run_until(async {
             for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
@@ -164,7 +164,7 @@
                             0 => rig.driver.guard(id.clone()),
                             1 if rig.driver.in_flight.contains_key(&id) => rig.end(&id, Status::Ok),
                             1 => {}
-                            _ => rig.driver.take(Input::Client(Word::Left(rig.tickets))),
+                            _ => rig.driver.take(Input::Client(ClientEvent::Disconnected(rig.next_number))),
                         }
                         assert!(over.get(), "nothing begins for it any more: {order:?}");
                     }
@@ -184,14 +184,14 @@
 // Guards against an attempt that has not begun and goes on for a client that left, and against one that has begun and
 // is no longer waited for: it may run, and tells of its server.
 #[tokio::test(start_paused = true)]
-async fn a_leaving_takes_back_what_has_not_begun_and_nothing_else() {
+async fn a_disconnect_cancels_only_attempts_that_have_not_started() {
     LocalSet::new()
         .run_until(async {
             for begun in [false, true] {
                 let mut rig = Rig::new(2);
                 let (id, _answer) = rig.ask(1);
                 rig.driver.in_flight[&id].attempts[0].begun.set(begun);
-                rig.driver.take(Input::Client(Word::Left(rig.tickets)));
+                rig.driver.take(Input::Client(ClientEvent::Disconnected(rig.next_number)));
                 rig.driver.handle_due();
                 assert_eq!(rig.driver.in_flight.contains_key(&id), begun);
             }
--- a/src/net/lifecycle/tests.rs
+++ b/src/net/lifecycle/tests.rs
@@ -5,43 +5,47 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn every_stop_ends_before_the_kill_can_come() {
-    let told = Instant::now();
+async fn every_shutdown_plan_ends_before_the_earliest_kill() {
+    let signalled_at = Instant::now();
     for deadline in [0, 1, 400, 1_000, 1_900, 3_000, 5_000, 60_000] {
-        for noticed in [0, 40, 700, 2_000, 10_000] {
+        for noticed_at in [0, 40, 700, 2_000, 10_000] {
             for late in [0, 10, 300, 5_000] {
-                let noticed = told + ms(noticed);
-                let stop = Stop::plan(told, noticed, ms(late), ms(deadline));
-                let kill = told + BEFORE_KILL + ms(deadline.min(3_000));
-                assert_eq!(stop.kill, kill);
-                assert!(noticed <= stop.close_at && stop.close_at <= stop.answer_by, "{stop:?}");
-                assert!(stop.answer_by <= stop.gone_by, "{stop:?}");
-                assert!(stop.gone_by + ms(late) < kill || stop.gone_by == noticed, "{stop:?}");
+                let noticed_at = signalled_at + ms(noticed_at);
+                let stop = ShutdownPlan::new(signalled_at, noticed_at, ms(late), ms(deadline));
+                let kill = signalled_at + KILL_DELAY + ms(deadline.min(3_000));
+                assert_eq!(stop.kill_at, kill);
+                assert!(noticed_at <= stop.close_at && stop.close_at <= stop.answer_by, "{stop:?}");
+                assert!(stop.answer_by <= stop.exit_by, "{stop:?}");
+                assert!(stop.exit_by + ms(late) < kill || stop.exit_by == noticed_at, "{stop:?}");
             }
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_usual_stop_serves_on_as_long_as_usual_requests_can_be_answered() {
-    let told = Instant::now();
-    let stop = Stop::plan(told, told, Duration::ZERO, ms(1_900));
-    assert_eq!(stop.close_at - told, ms(1_260));
-    assert_eq!((stop.answer_by - told, stop.gone_by - told), (ms(2_400), ms(2_550)));
+async fn a_shutdown_without_lag_serves_while_usual_requests_can_still_be_answered() {
+    let signalled_at = Instant::now();
+    let stop = ShutdownPlan::new(signalled_at, signalled_at, Duration::ZERO, ms(1_900));
+    assert_eq!(stop.close_at - signalled_at, ms(1_260));
+    assert_eq!((stop.answer_by - signalled_at, stop.exit_by - signalled_at), (ms(2_400), ms(2_550)));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_is_busy_takes_a_signal_for_as_old_as_it_may_be() {
+async fn a_busy_node_assumes_the_earliest_possible_signal_time() {
     let start = Instant::now();
-    let pulse = Pulse::start();
-    // Busy from 100 ms to 900 ms: the signal may have come at any time since.
+    let lag_monitor = LagMonitor::start();
+    // Busy from 100 ms to 900 ms: the signal may have arrived at any time since then.
     for at in [50, 100, 900] {
-        pulse.look(pulse.last.get() + BEAT, start + ms(at));
+        lag_monitor.sample(lag_monitor.last_sample.get() + SAMPLE_INTERVAL, start + ms(at));
     }
-    assert_eq!(pulse.before_signal(), start + ms(100));
-    assert_eq!(pulse.lateness(), ms(750));
-    assert_eq!(pulse.lag(start + ms(901)), ms(750), "as late as it has just been");
-    assert_eq!(pulse.lag(start + ms(1_900)), ms(950), "a look that is not made yet is late all the same");
-    pulse.look(start + ms(5_900), start + ms(5_900));
-    assert_eq!(pulse.lateness(), ms(375));
+    assert_eq!(lag_monitor.earliest_signal_at(), start + ms(100));
+    assert_eq!(lag_monitor.recent_max_lag(), ms(750));
+    assert_eq!(lag_monitor.current_lag(start + ms(901)), ms(750), "as late as it has just been");
+    assert_eq!(
+        lag_monitor.current_lag(start + ms(1_900)),
+        ms(950),
+        "a look that is not made yet is late all the same"
+    );
+    lag_monitor.sample(start + ms(5_900), start + ms(5_900));
+    assert_eq!(lag_monitor.recent_max_lag(), ms(375));
 }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -135,7 +135,7 @@
         let over = tokio::select! {
             // It waits in one place alone, before it takes anything in.
             () = peering.step(&mut told) => false,
-            _ = stage.wait_for(|stage| *stage >= Stage::Leaving) => true,
+            _ = stage.wait_for(|stage| *stage >= Stage::NotReady) => true,
         };
         if over {
             peering.leave(&mut told);
--- a/src/net/read_ahead.rs
+++ b/src/net/read_ahead.rs
@@ -1,5 +1,5 @@
-//! A client's stream. It reads ahead while a request is answered, so that a client which leaves is noticed whatever it
-//! sent on its way out, and it lingers where a close would take the answer with it.
+//! A client's stream. It reads ahead while a request is being answered, so that a disconnect is noticed even
+//! behind further bytes, and its close lingers where an immediate close could discard the answer.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -11,76 +11,79 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep, Sleep};
 
-/// What is kept of bytes that come behind a request which is being answered. Clients send one request at a time: of
-/// what goes past it nothing is served, and the connection closes behind the answer.
-const AHEAD: usize = 8 << 10;
-const CHUNK: usize = 4 << 10;
-/// Chunks that are read before others have their turn: a flood must not hold them up.
-const AT_ONCE: usize = 4;
-/// A close over unread bytes resets the connection, and the peer may lose an answer that it has not read yet. So long
-/// the node waits for the peer to close first, and reads no more than this of what still comes.
-const LINGER: Duration = Duration::from_secs(1);
-const LINGER_MOST: usize = 256 << 10;
-
-/// What hyper holds of a client's stream.
-pub struct ReadAhead<S>(Rc<Held<S>>);
-
-/// What the connection holds of it beside hyper.
-pub struct Held<S> {
+/// Maximum number of bytes kept that arrive after a request which is being answered. Clients send one request
+/// at a time; if more than this arrives, none of it is served and the connection is closed after the answer.
+const MAX_AHEAD_BYTES: usize = 8 << 10;
+const CHUNK_BYTES: usize = 4 << 10;
+/// Maximum number of chunks read in one poll, so that a flood does not starve other tasks.
+const MAX_CHUNKS_PER_POLL: usize = 4;
+/// Closing a socket with unread bytes resets the connection, and the peer may lose an answer that it has not
+/// read yet. The node therefore waits this long for the peer to close first, and reads no more than this from
+/// it meanwhile.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_LINGER_BYTES: usize = 256 << 10;
+
+/// The stream as hyper uses it.
+pub struct ReadAhead<S>(Rc<SharedStream<S>>);
+
+/// The same stream as the connection's own task uses it.
+pub struct SharedStream<S> {
     stream: RefCell<S>,
     ahead: RefCell<Vec<u8>>,
-    /// The client has ended its sending: it closed, or means to.
-    ended: Cell<bool>,
-    /// More came than is kept.
+    /// The client has shut down its sending side.
+    eof: Cell<bool>,
+    /// More bytes arrived than are kept.
     overrun: Cell<bool>,
-    lingers: Cell<bool>,
-    shut: RefCell<Option<Linger>>,
+    linger_on_close: Cell<bool>,
+    lingering: RefCell<Option<Linger>>,
 }
 
-/// The sending side is shut, and the peer has this long, and this much, left.
+/// State of a lingering close: the sending side is shut down, and the peer has this time and this many bytes
+/// left.
 struct Linger {
-    over: Pin<Box<Sleep>>,
-    left: usize,
+    timer: Pin<Box<Sleep>>,
+    remaining_bytes: usize,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ReadAhead<S> {
-    pub fn new(stream: S) -> (Self, Rc<Held<S>>) {
-        let held = Rc::new(Held {
+    pub fn new(stream: S) -> (Self, Rc<SharedStream<S>>) {
+        let shared = Rc::new(SharedStream {
             stream: RefCell::new(stream),
             ahead: RefCell::default(),
-            ended: Cell::default(),
+            eof: Cell::default(),
             overrun: Cell::default(),
-            lingers: Cell::default(),
-            shut: RefCell::default(),
+            linger_on_close: Cell::default(),
+            lingering: RefCell::default(),
         });
-        (Self(held.clone()), held)
+        (Self(shared.clone()), shared)
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> Held<S> {
-    /// The client is told that the connection closes behind the answer: what it sends on is read and dropped.
-    pub fn linger(&self) {
-        self.lingers.set(true);
+impl<S: AsyncRead + AsyncWrite + Unpin> SharedStream<S> {
+    /// Marks the connection as closing after this answer; what the client sends from then on is read and
+    /// discarded.
+    pub fn linger_on_close(&self) {
+        self.linger_on_close.set(true);
     }
 
-    /// More came behind the request than is kept: nothing that follows can be read as a request.
+    /// Whether more bytes arrived than are kept, so that none of them can be read as a request.
     pub fn overrun(&self) -> bool {
         self.overrun.get()
     }
 
-    /// Reads ahead; ready once the client has ended its sending or its connection broke.
-    pub fn poll_left(&self, cx: &mut Context<'_>) -> Poll<()> {
-        for _ in 0..AT_ONCE {
-            if self.ended.get() {
+    /// Reads ahead; ready once the client has shut down its sending side or the connection is broken.
+    pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
+        for _ in 0..MAX_CHUNKS_PER_POLL {
+            if self.eof.get() {
                 return Poll::Ready(());
             }
-            let mut chunk = [0; CHUNK];
+            let mut chunk = [0; CHUNK_BYTES];
             let mut buf = ReadBuf::new(&mut chunk);
             let read = ready!(self.poll_stream(cx, &mut buf));
             let mut ahead = self.ahead.borrow_mut();
             if read.is_err() || buf.filled().is_empty() {
-                self.ended.set(true);
-            } else if ahead.len() + buf.filled().len() > AHEAD || self.overrun.get() {
+                self.eof.set(true);
+            } else if ahead.len() + buf.filled().len() > MAX_AHEAD_BYTES || self.overrun.get() {
                 self.overrun.set(true);
                 *ahead = Vec::new();
             } else {
@@ -101,31 +104,34 @@
             let length = ahead.len().min(buf.remaining());
             buf.put_slice(&ahead[..length]);
             ahead.drain(..length);
-        } else if !self.ended.get() && !self.overrun.get() {
+        } else if !self.eof.get() && !self.overrun.get() {
             ready!(self.poll_stream(cx, buf))?;
         }
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let mut shut = self.shut.borrow_mut();
-        if shut.is_none() {
+        let mut lingering = self.lingering.borrow_mut();
+        if lingering.is_none() {
             ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_shutdown(cx))?;
         }
-        if !self.lingers.get() {
+        if !self.linger_on_close.get() {
             return Poll::Ready(Ok(()));
         }
-        let linger = shut.get_or_insert_with(|| Linger { over: Box::pin(sleep(LINGER)), left: LINGER_MOST });
-        for _ in 0..AT_ONCE {
-            if self.ended.get() || linger.left == 0 || linger.over.as_mut().poll(cx).is_ready() {
+        let linger = lingering.get_or_insert_with(|| Linger {
+            timer: Box::pin(sleep(LINGER_TIMEOUT)),
+            remaining_bytes: MAX_LINGER_BYTES,
+        });
+        for _ in 0..MAX_CHUNKS_PER_POLL {
+            if self.eof.get() || linger.remaining_bytes == 0 || linger.timer.as_mut().poll(cx).is_ready() {
                 return Poll::Ready(Ok(()));
             }
-            let mut chunk = [0; CHUNK];
+            let mut chunk = [0; CHUNK_BYTES];
             let mut buf = ReadBuf::new(&mut chunk);
             let read = ready!(self.poll_stream(cx, &mut buf));
-            let came = buf.filled().len();
-            self.ended.set(read.is_err() || came == 0);
-            linger.left = linger.left.saturating_sub(came);
+            let received = buf.filled().len();
+            self.eof.set(read.is_err() || received == 0);
+            linger.remaining_bytes = linger.remaining_bytes.saturating_sub(received);
         }
         cx.waker().wake_by_ref();
         Poll::Pending
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,10 +1,10 @@
-//! The clients' side: reads requests, hands them to the driver, writes the answers, sees clients leave.
+//! Serves clients: reads requests, passes them to the driver, writes the answers and detects disconnects.
 
-use crate::net::lifecycle::{Pulse, Stage};
-use crate::net::read_ahead::{Held, ReadAhead};
+use crate::net::lifecycle::{LagMonitor, Stage};
+use crate::net::read_ahead::{ReadAhead, SharedStream};
 use crate::net::stream::Stream;
-use crate::net::upstream::{Message, IDEMPOTENCY_KEY, LARGEST_BODY, REQ_DEADLINE, REQ_ID};
-use crate::net::watched::{Watch, Watched};
+use crate::net::upstream::{UpstreamRequest, IDEMPOTENCY_KEY, MAX_BODY_BYTES, REQ_DEADLINE, REQ_ID};
+use crate::net::watched::{IoObserver, ObservedStream};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -37,44 +37,46 @@
 const REQ_OWNER: HeaderName = HeaderName::from_static("req-owner");
 const REQ_RETRY: HeaderName = HeaderName::from_static("req-retry");
 const REQ_COST: HeaderName = HeaderName::from_static("req-cost");
-/// A connection that brings no whole head for this long is closed, so that dead ones can't fill the table.
+/// A connection that sends no complete head for this long is closed, so that dead ones cannot exhaust the
+/// limit.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
-/// A peer owes its first request whole within this time of connecting, and each further body within it of its
-/// head: one that sends less, or nothing, is due an error or a close within 3 s.
-const WHOLE_REQUEST: Duration = Duration::from_millis(2_500);
-/// A first request that is read so soon after its connection was accepted may have come with it.
-const CAME_WITH_CONNECTION: Duration = Duration::from_millis(50);
-/// The most that hyper holds of what a client has sent: a flood of heads must not fill the memory.
-const READ_MOST: usize = 16 << 10;
-/// The pause after a failed accept, doubled with each that follows up to the most. A connection that was aborted says
-/// nothing of the next one, and what waits behind it has a client whose time runs; where no descriptor is left, a try
-/// at once would fail and spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(1);
-const ACCEPT_PAUSE_MOST: Duration = Duration::from_millis(20);
-
-/// A client's request, read whole.
+/// A client must send its first request completely within this time of connecting, and the body of each
+/// further one within this time of its head: a client that sends less, or nothing, is due an error or a close
+/// within 3 s.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// A first request read this soon after its connection was accepted may have been sent together with it.
+const SENT_WITH_CONNECT_WINDOW: Duration = Duration::from_millis(50);
+/// Size limit of hyper's read buffer, so that a flood of heads cannot exhaust the memory.
+const MAX_READ_BUFFER_BYTES: usize = 16 << 10;
+/// Backoff after a failed accept; it starts at the minimum and doubles up to the maximum. It starts small
+/// since an aborted connection says nothing about the next one, which has a client waiting. It is needed
+/// since an immediate retry without a free file descriptor would fail again and spin.
+const MIN_ACCEPT_BACKOFF: Duration = Duration::from_millis(1);
+const MAX_ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+
+/// A complete request of a client.
 #[derive(Debug)]
-pub struct Taken {
-    /// A number that is never used twice: a client's own id might come again.
-    pub ticket: u64,
-    /// When it came: as long ago as the node may have left it unread.
-    pub at: Instant,
-    /// How far the node was behind when it read it: its answer may be late by as much.
-    pub behind: Duration,
+pub struct ClientRequest {
+    /// A unique number of the request; the id that the client chose may repeat.
+    pub number: u64,
+    /// When it arrived, assuming that it waited unread for as long as it may have.
+    pub received_at: Instant,
+    /// The event loop's lag when the request was read; its answer may be late by as much.
+    pub lag: Duration,
     /// How long the client waits.
-    pub patience: Duration,
+    pub timeout: Duration,
     pub class: ClassId,
-    /// The class's name, and within which time its answers are worth most.
-    pub kind: Name,
-    pub aim: Duration,
+    /// The class's name, and its latency target.
+    pub class_name: Name,
+    pub latency_target: Duration,
     pub tenant: Option<TenantId>,
     pub key: Option<u64>,
     pub expected_work: Option<Duration>,
     pub write: bool,
     pub client_retry: bool,
-    pub message: Message,
-    /// Set once the client has left, or has its final answer: nothing more begins for it.
-    pub over: Rc<Cell<bool>>,
+    pub upstream_request: UpstreamRequest,
+    /// Set when the client has left or has its final answer: no attempt starts after that.
+    pub finished: Rc<Cell<bool>>,
     pub answer: oneshot::Sender<Answer>,
 }
 
@@ -83,235 +85,239 @@
 pub enum Answer {
     /// The body of the cache server's answer.
     Served(Bytes),
-    /// Not done and safe to ask again.
+    /// Not executed and safe to retry.
     Refused { retry_after: Duration },
-    /// Not done, or not known.
+    /// Not executed, or not known.
     Failed,
 }
 
-/// What clients bring.
+/// An event from a client.
 #[derive(Debug)]
-pub enum Word {
-    Taken(Box<Taken>),
-    /// The client of this ticket has gone.
-    Left(u64),
+pub enum ClientEvent {
+    Request(Box<ClientRequest>),
+    /// The client of the request with this number has disconnected.
+    Disconnected(u64),
 }
 
-/// Where it goes.
-pub type Tell = Rc<dyn Fn(Word)>;
+/// Receives the events of clients.
+pub type EventSink = Rc<dyn Fn(ClientEvent)>;
 
-/// What all connections of clients share.
-pub struct Front {
-    /// The classes' names and aims.
+/// State shared by all client connections.
+pub struct Frontend {
+    /// The classes' names and latency targets.
     pub classes: Vec<(Name, Duration)>,
     pub tenants: Vec<Name>,
     pub ready: Rc<Cell<bool>>,
-    pub pulse: Rc<Pulse>,
+    pub lag_monitor: Rc<LagMonitor>,
     pub stage: watch::Receiver<Stage>,
-    pub tell: Tell,
-    pub tickets: Cell<u64>,
+    pub events: EventSink,
+    pub next_number: Cell<u64>,
     /// When the last answer was given.
-    pub answered: Cell<Option<Instant>>,
+    pub last_answer_at: Cell<Option<Instant>>,
     idle: IdleConnections,
 }
 
-/// The connections with no request in them, the one that has stood so longest first.
+/// Connections without a request in progress, by the time since which they have been idle.
 #[derive(Default)]
 struct IdleConnections {
-    next: Cell<u64>,
-    /// None was idle when room was needed: the next one that is gives way.
-    wanted: Cell<bool>,
-    waiting: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    next_number: Cell<u64>,
+    /// A connection had to be closed while none was idle: the next one to become idle is closed.
+    close_next: Cell<bool>,
+    by_age: RefCell<BTreeMap<u64, Rc<Notify>>>,
 }
 
 impl IdleConnections {
-    /// Asks the oldest to close, in favour of one that waits unaccepted.
+    /// Asks the connection that has been idle longest to close, in favour of one in the backlog.
     fn make_room(&self) {
-        match self.waiting.borrow_mut().pop_first() {
+        match self.by_age.borrow_mut().pop_first() {
             Some((_, close)) => close.notify_one(),
-            None => self.wanted.set(true),
+            None => self.close_next.set(true),
         }
     }
 }
 
-/// What goes on in a connection.
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Nothing: it may be closed, and what its client is sending just then is sent anew elsewhere.
+    /// Nothing: it may be closed, and a request that its client is just sending is retried elsewhere.
     Idle,
-    /// A request has begun to come and is not whole.
+    /// A request has started to arrive and is not complete.
     Reading,
-    /// A whole request is in it, which is owed an answer.
+    /// A complete request is owed an answer.
     Answering,
 }
 
-/// Why a client's connection ends, for the log.
+/// Why a client's connection was closed; shown in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum EndOfConnection {
-    /// Its client closed it or asked for its close, or what it sent was no request.
+enum CloseReason {
+    /// The client closed it or asked for that, or sent something that is not HTTP.
     ByClient,
-    /// No whole request came within the time for the first one.
+    /// No complete first request arrived in time.
     NoRequest,
-    /// Its client left before it had its answer.
+    /// The client left before it had its answer.
     Left,
-    /// It gives its place to a connection that waits.
+    /// It was closed in favour of a connection in the backlog.
     MakesRoom,
-    /// The node stops: idle connections close, others with their answer.
+    /// The node is shutting down: idle connections close at once, others after their answer.
     Stopping,
-    /// The node's time is over.
+    /// The node reached the time of its exit.
     NodeGone,
 }
 
-/// A connection's place among the idle ones: it has one while nothing goes on in it.
-struct Place {
-    front: Rc<Front>,
-    close: Rc<Notify>,
+/// A client's connection; it is registered as idle while no request is in progress.
+struct ClientConnection {
+    frontend: Rc<Frontend>,
+    close_requested: Rc<Notify>,
     number: Cell<u64>,
     arrival: Arrival,
-    opened: Instant,
-    /// Heads of requests that came on it.
-    heads: Cell<u64>,
+    opened_at: Instant,
+    /// Number of request heads received.
+    requests: Cell<u64>,
     phase: Cell<Phase>,
-    /// It was told to close: the next answer is its last.
+    /// It has been asked to close: the next answer is its last.
     closing: Cell<bool>,
 }
 
-impl Place {
-    fn new(front: Rc<Front>, arrival: Arrival) -> Self {
-        let (close, number, heads, closing) = Default::default();
-        let (opened, phase) = (arrival.waiting_since, Cell::new(Phase::Idle));
-        let place = Self { front, close, number, arrival, opened, heads, phase, closing };
-        place.enter();
-        place
+impl ClientConnection {
+    fn new(frontend: Rc<Frontend>, arrival: Arrival) -> Self {
+        let (close_requested, number, requests, closing) = Default::default();
+        let (opened_at, phase) = (arrival.waiting_since, Cell::new(Phase::Idle));
+        let conn = Self { frontend, close_requested, number, arrival, opened_at, requests, phase, closing };
+        conn.mark_idle();
+        conn
     }
 
-    fn enter(&self) {
+    fn mark_idle(&self) {
         self.phase.set(Phase::Idle);
-        let idle = &self.front.idle;
-        if idle.wanted.take() {
-            return self.close.notify_one();
+        let idle = &self.frontend.idle;
+        if idle.close_next.take() {
+            return self.close_requested.notify_one();
         }
-        self.number.set(idle.next.replace(idle.next.get() + 1));
-        idle.waiting.borrow_mut().insert(self.number.get(), self.close.clone());
+        self.number.set(idle.next_number.replace(idle.next_number.get() + 1));
+        idle.by_age.borrow_mut().insert(self.number.get(), self.close_requested.clone());
     }
 
-    /// Ends when the time for a first request is over and none has come.
-    async fn silence(&self) {
-        sleep_until(self.opened + WHOLE_REQUEST).await;
-        if self.heads.get() > 0 {
+    /// Completes when the time for the first request is over and none has arrived.
+    async fn first_request_timeout(&self) {
+        sleep_until(self.opened_at + REQUEST_TIMEOUT).await;
+        if self.requests.get() > 0 {
             std::future::pending().await
         }
     }
 
-    /// A request has begun to come, if none has before.
-    fn begin(&self) {
+    /// Notes that a request has started to arrive.
+    fn mark_reading(&self) {
         if self.phase.get() == Phase::Idle {
             self.phase.set(Phase::Reading);
-            self.leave();
+            self.unregister_idle();
         }
     }
 
-    /// Until when the request whose head has just come must be whole.
-    fn head(&self) -> Instant {
-        self.begin();
-        let heads = self.heads.replace(self.heads.get() + 1);
-        let from = if heads == 0 { self.opened } else { Instant::now() };
-        from + WHOLE_REQUEST
+    /// Notes the head of a request and returns the time by which the request must be complete.
+    fn head_received(&self) -> Instant {
+        self.mark_reading();
+        let requests = self.requests.replace(self.requests.get() + 1);
+        let from = if requests == 0 { self.opened_at } else { Instant::now() };
+        from + REQUEST_TIMEOUT
     }
 
-    /// Says why the connection ends. Clients that close theirs are the usual case.
-    fn tell_end(&self, reason: EndOfConnection) {
-        let (phase, requests) = (self.phase.get(), self.heads.get());
-        let age_ms = self.opened.elapsed().as_millis() as u64;
+    /// Logs why the connection closes. Only a close by the client, the usual case, is logged at debug level.
+    fn log_close(&self, reason: CloseReason) {
+        let (phase, requests) = (self.phase.get(), self.requests.get());
+        let age_ms = self.opened_at.elapsed().as_millis() as u64;
         match reason {
-            EndOfConnection::ByClient => {
-                debug!(target: "clients", ?reason, ?phase, requests, age_ms, "a connection ends");
+            CloseReason::ByClient => {
+                debug!(target: "clients", ?reason, ?phase, requests, age_ms, "client connection closed");
             }
-            _ => info!(target: "clients", ?reason, ?phase, requests, age_ms, "a connection ends"),
+            _ => info!(target: "clients", ?reason, ?phase, requests, age_ms, "client connection closed"),
         }
     }
 
-    /// How long the request that is read whole at `now` may have lain there before its connection was accepted.
-    fn unaccepted(&self, now: Instant) -> Duration {
-        if self.heads.get() == 1 {
-            self.arrival.unaccepted(now)
+    /// How long the request that is read completely at `now` may have waited in the accept backlog.
+    fn time_in_backlog(&self, now: Instant) -> Duration {
+        if self.requests.get() == 1 {
+            self.arrival.time_in_backlog(now)
         } else {
             Duration::ZERO
         }
     }
 
-    fn leave(&self) {
-        self.front.idle.waiting.borrow_mut().remove(&self.number.get());
+    fn unregister_idle(&self) {
+        self.frontend.idle.by_age.borrow_mut().remove(&self.number.get());
     }
 }
 
-impl Watch for Rc<Place> {
-    fn read(&self) {
-        self.begin();
+impl IoObserver for Rc<ClientConnection> {
+    fn on_read(&self) {
+        self.mark_reading();
     }
 }
 
-impl Drop for Place {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
-        self.leave();
+        self.unregister_idle();
     }
 }
 
-impl Front {
+impl Frontend {
     pub fn new(
         settings: &Settings,
         ready: Rc<Cell<bool>>,
-        pulse: Rc<Pulse>,
+        lag_monitor: Rc<LagMonitor>,
         stage: watch::Receiver<Stage>,
-        tell: Tell,
+        events: EventSink,
     ) -> Self {
         Self {
             classes: settings.classes.iter().map(|class| (class.name.clone(), class.aim)).collect(),
             tenants: settings.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
             ready,
-            pulse,
+            lag_monitor,
             stage,
-            tell,
-            tickets: Cell::new(0),
-            answered: Cell::default(),
+            events,
+            next_number: Cell::new(0),
+            last_answer_at: Cell::default(),
             idle: IdleConnections::default(),
         }
     }
 }
 
-/// Accepts and serves until the node closes, then returns when every connection has ended. It holds at most
-/// `most` connections; further ones wait unaccepted.
-pub async fn serve(listener: TcpListener, front: Rc<Front>, most: usize) {
-    let slots = Arc::new(Semaphore::new(most));
-    let mut stage = front.stage.clone();
+/// Accepts and serves connections until the node closes, and returns when every connection has ended. At most
+/// `max_connections` are open; further ones wait in the backlog.
+pub async fn serve(listener: TcpListener, frontend: Rc<Frontend>, max_connections: usize) {
+    let slots = Arc::new(Semaphore::new(max_connections));
+    let mut stage = frontend.stage.clone();
     let mut closing = pin!(stage.wait_for(|stage| *stage >= Stage::Closing));
     let mut failures = AcceptFailures::default();
     loop {
         let accepted = tokio::select! {
             biased;
-            accepted = accept(&listener, &slots, &front.idle, &mut failures) => accepted,
+            accepted = accept(&listener, &slots, &frontend.idle, &mut failures) => accepted,
             _ = &mut closing => break,
         };
         match accepted {
-            Ok((stream, slot)) => hold(stream, slot, failures.accepted(), &front),
-            Err(error) => failures.pause_after(&error).await,
+            Ok((stream, slot)) => spawn_connection(stream, slot, failures.record_accept(), &frontend),
+            Err(error) => failures.back_off(&error).await,
         }
     }
-    let mut gone = front.stage.clone();
+    let mut stage_exiting = frontend.stage.clone();
     tokio::select! {
         biased;
-        drained = drain(listener, &slots, &front) => if let Err(error) = drained {
-            warn!(target: "clients", %error, "cannot accept what waits");
+        accepted = accept_backlog(listener, &slots, &frontend) => if let Err(error) = accepted {
+            warn!(target: "clients", %error, "cannot accept the connections in the backlog");
         },
-        _ = gone.wait_for(|stage| *stage == Stage::Gone) => {}
+        _ = stage_exiting.wait_for(|stage| *stage == Stage::Exiting) => {}
     }
-    // All slots are free when the last connection has ended. The semaphore is never closed.
-    let _ = slots.acquire_many(most as u32).await;
+    // All permits are free once the last connection has ended. The semaphore is never closed.
+    let _ = slots.acquire_many(max_connections as u32).await;
 }
 
-/// Takes what the machine has accepted and the node has not: a request in it counts as taken. The system is asked
-/// itself, since the runtime knows what was there when it asked last, and a node that is behind asks seldom.
-async fn drain(listener: TcpListener, slots: &Arc<Semaphore>, front: &Rc<Front>) -> io::Result<()> {
+/// Accepts the connections in the backlog: a request on them counts as accepted. It calls the system
+/// directly, since the runtime only knows the readiness it polled last, and an overloaded node polls rarely.
+async fn accept_backlog(
+    listener: TcpListener,
+    slots: &Arc<Semaphore>,
+    frontend: &Rc<Frontend>,
+) -> io::Result<()> {
     let listener = listener.into_std()?;
     let mut failures = AcceptFailures::default();
     loop {
@@ -319,76 +325,82 @@
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(true)?;
-                hold(TcpStream::from_std(stream)?, slot, failures.accepted(), front);
+                spawn_connection(TcpStream::from_std(stream)?, slot, failures.record_accept(), frontend);
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
-            // The caller ends this where it never passes.
-            Err(error) => failures.pause_after(&error).await,
+            // If this never succeeds, the caller ends the loop.
+            Err(error) => failures.back_off(&error).await,
         }
     }
 }
 
-/// Accepts that failed, and since when connections may have waited for that.
+/// Failed accepts, and since when connections may have been waiting because of them.
 #[derive(Default)]
 struct AcceptFailures {
-    in_a_row: u32,
-    /// The first that failed since none was waiting.
-    since: Option<Instant>,
+    consecutive: u32,
+    /// The first failure since the backlog was last empty.
+    failing_since: Option<Instant>,
 }
 
 impl AcceptFailures {
-    async fn pause_after(&mut self, error: &io::Error) {
-        self.since.get_or_insert_with(Instant::now);
-        let pause = ACCEPT_PAUSE.saturating_mul(1 << self.in_a_row.min(10)).min(ACCEPT_PAUSE_MOST);
-        self.in_a_row = self.in_a_row.saturating_add(1);
-        warn!(target: "clients", %error, in_a_row = self.in_a_row, "cannot accept a connection");
-        sleep(pause).await;
+    async fn back_off(&mut self, error: &io::Error) {
+        self.failing_since.get_or_insert_with(Instant::now);
+        let backoff =
+            MIN_ACCEPT_BACKOFF.saturating_mul(1 << self.consecutive.min(10)).min(MAX_ACCEPT_BACKOFF);
+        self.consecutive = self.consecutive.saturating_add(1);
+        warn!(target: "clients", %error, in_a_row = self.consecutive, "cannot accept a connection");
+        sleep(backoff).await;
     }
 
-    /// A connection was accepted.
-    fn accepted(&mut self) -> Arrival {
-        self.in_a_row = 0;
-        let accepted = Instant::now();
-        Arrival { accepted, waiting_since: self.since.unwrap_or(accepted) }
+    /// Notes that a connection was accepted.
+    fn record_accept(&mut self) -> Arrival {
+        self.consecutive = 0;
+        let accepted_at = Instant::now();
+        Arrival { accepted_at, waiting_since: self.failing_since.unwrap_or(accepted_at) }
     }
 
-    /// No connection waits.
-    fn none_waits(&mut self) {
-        self.since = None;
+    /// Notes that the backlog is empty.
+    fn record_empty_backlog(&mut self) {
+        self.failing_since = None;
     }
 }
 
-/// When a connection came.
+/// When a connection arrived.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
-    accepted: Instant,
-    /// It may have waited since then: accepts have failed.
+    accepted_at: Instant,
+    /// It may have been waiting since then because accepts failed.
     waiting_since: Instant,
 }
 
 impl Arrival {
-    /// One that came just now.
+    /// A connection that arrived just now.
     #[cfg(test)]
     fn now() -> Self {
         let now = Instant::now();
-        Self { accepted: now, waiting_since: now }
+        Self { accepted_at: now, waiting_since: now }
     }
 
-    /// How long a first request that is read whole at `now` may have lain there unaccepted.
-    fn unaccepted(&self, now: Instant) -> Duration {
-        let came_with_it = now.saturating_duration_since(self.accepted) <= CAME_WITH_CONNECTION;
-        if came_with_it {
-            self.accepted - self.waiting_since
+    /// How long a first request that is read completely at `now` may have waited in the accept backlog.
+    fn time_in_backlog(&self, now: Instant) -> Duration {
+        let sent_with_connect = now.saturating_duration_since(self.accepted_at) <= SENT_WITH_CONNECT_WINDOW;
+        if sent_with_connect {
+            self.accepted_at - self.waiting_since
         } else {
             Duration::ZERO
         }
     }
 }
 
-fn hold(stream: TcpStream, slot: OwnedSemaphorePermit, arrival: Arrival, front: &Rc<Front>) {
-    let front = front.clone();
+fn spawn_connection(
+    stream: TcpStream,
+    slot: OwnedSemaphorePermit,
+    arrival: Arrival,
+    frontend: &Rc<Frontend>,
+) {
+    let frontend = frontend.clone();
     tokio::task::spawn_local(async move {
-        connection(Stream::from(stream), arrival, front).await;
+        serve_connection(Stream::from(stream), arrival, frontend).await;
         drop(slot);
     });
 }
@@ -400,15 +412,15 @@
     failures: &mut AcceptFailures,
 ) -> io::Result<(TcpStream, OwnedSemaphorePermit)> {
     if slots.available_permits() == 0 {
-        // Clients keep the connections they have: left idle, they would keep all others out of a full table,
-        // and the machine takes requests on connections that the node has not accepted yet.
+        // Clients keep their connections open: idle ones would keep all others out when the limit is reached,
+        // and the system accepts requests on connections that are still in the backlog.
         idle.make_room();
     }
     let slot = slots.clone().acquire_owned().await.map_err(io::Error::other)?;
     let accepting = poll_fn(|cx| {
         let accepted = listener.poll_accept(cx);
         if accepted.is_pending() {
-            failures.none_waits();
+            failures.record_empty_backlog();
         }
         accepted
     });
@@ -416,189 +428,204 @@
     Ok((stream, slot))
 }
 
-async fn connection(
+async fn serve_connection(
     stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
     arrival: Arrival,
-    front: Rc<Front>,
+    frontend: Rc<Frontend>,
 ) {
-    let (mut stage, mut end) = (front.stage.clone(), front.stage.clone());
-    let place = Rc::new(Place::new(front.clone(), arrival));
+    let (mut stage, mut exit_stage) = (frontend.stage.clone(), frontend.stage.clone());
+    let conn = Rc::new(ClientConnection::new(frontend.clone(), arrival));
     let mut http = http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(READ_MOST);
-    let (stream, held) = ReadAhead::new(stream);
+    http.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(MAX_READ_BUFFER_BYTES);
+    let (stream, shared) = ReadAhead::new(stream);
     let service = service_fn(async |request| {
-        let whole_by = place.head();
-        let last = asks_to_close(&request);
-        let mut response = respond(&front, request, &place, whole_by).await;
-        let closing = place.closing.get() || *front.stage.borrow() >= Stage::Closing;
-        if closing || last || held.overrun() {
+        let deadline = conn.head_received();
+        let client_closes = asks_to_close(&request);
+        let mut response = respond(&frontend, request, &conn, deadline).await;
+        let closing = conn.closing.get() || *frontend.stage.borrow() >= Stage::Closing;
+        if closing || client_closes || shared.overrun() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-            held.linger();
+            shared.linger_on_close();
         }
-        place.enter();
+        conn.mark_idle();
         Ok::<_, Infallible>(response)
     });
-    let heard = Watched { stream, watch: place.clone() };
-    let mut serving = pin!(http.serve_connection(TokioIo::new(heard), service));
-    let (mut silence, mut left) = (pin!(place.silence()), pin!(left(&place, &held)));
-    // An error here is a client that left or spoke no HTTP: hyper has answered what can be answered.
+    let observed = ObservedStream { stream, observer: conn.clone() };
+    let mut serving = pin!(http.serve_connection(TokioIo::new(observed), service));
+    let (mut first_request_timeout, mut disconnected) =
+        (pin!(conn.first_request_timeout()), pin!(client_disconnected(&conn, &shared)));
+    // An error means that the client left or sent something that is not HTTP; hyper has answered if it could.
     let stopping = tokio::select! {
         biased;
-        _ = &mut serving => return place.tell_end(EndOfConnection::ByClient),
-        () = &mut silence => return place.tell_end(EndOfConnection::NoRequest),
-        () = &mut left => return place.tell_end(EndOfConnection::Left),
+        _ = &mut serving => return conn.log_close(CloseReason::ByClient),
+        () = &mut first_request_timeout => return conn.log_close(CloseReason::NoRequest),
+        () = &mut disconnected => return conn.log_close(CloseReason::Left),
         _ = stage.wait_for(|stage| *stage >= Stage::Closing) => true,
-        () = place.close.notified() => false,
+        () = conn.close_requested.notified() => false,
     };
-    place.tell_end(if stopping { EndOfConnection::Stopping } else { EndOfConnection::MakesRoom });
-    place.closing.set(true);
-    // Of a request that has begun to come hyper would drop what it holds: it is read to its end, and its answer
-    // sends the client away. At a stop one that has brought nothing yet is waited for as well: a client connects
-    // in order to send, and the request may lie there unread.
-    let coming = match place.phase.get() {
-        Phase::Idle => stopping && place.heads.get() == 0,
+    conn.log_close(if stopping { CloseReason::Stopping } else { CloseReason::MakesRoom });
+    conn.closing.set(true);
+    // hyper's graceful shutdown would drop a request that has started to arrive. Such a request is read to
+    // its end, and its answer closes the connection. At shutdown the node also waits for the first request of
+    // a connection that has sent nothing yet: clients connect in order to send, and the request may already
+    // be waiting unread.
+    let finish_request = match conn.phase.get() {
+        Phase::Idle => stopping && conn.requests.get() == 0,
         Phase::Reading => true,
         Phase::Answering => false,
     };
-    if !coming {
+    if !finish_request {
         serving.as_mut().graceful_shutdown();
     }
-    // One that never comes whole has no end of its own: it gets the time that it had, and no more than the node
-    // has. What it brings later is never taken.
+    // A request that never completes does not end by itself: it has until its original timeout, and no longer
+    // than the node runs. Whatever arrives later is not accepted.
     tokio::select! {
         biased;
         _ = &mut serving => return,
-        () = &mut silence => return place.tell_end(EndOfConnection::NoRequest),
-        () = &mut left => return place.tell_end(EndOfConnection::Left),
-        _ = end.wait_for(|stage| *stage == Stage::Gone) => place.tell_end(EndOfConnection::NodeGone),
+        () = &mut first_request_timeout => return conn.log_close(CloseReason::NoRequest),
+        () = &mut disconnected => return conn.log_close(CloseReason::Left),
+        _ = exit_stage.wait_for(|stage| *stage == Stage::Exiting) => conn.log_close(CloseReason::NodeGone),
     }
-    // Whoever is owed an answer gets it: late is better than never, for a node as late as that.
-    if place.phase.get() == Phase::Answering {
+    // A request that is owed an answer still gets it: an overdue node answers late rather than not at all.
+    if conn.phase.get() == Phase::Answering {
         tokio::select! {
             biased;
             _ = &mut serving => {}
-            () = &mut left => {}
+            () = &mut disconnected => {}
         }
     }
 }
 
-/// Ends once the client of a request that is being answered has gone. hyper itself sees that only where nothing has
-/// come behind the request.
-async fn left<S: AsyncRead + AsyncWrite + Unpin>(place: &Place, held: &Held<S>) {
-    poll_fn(|cx| match place.phase.get() {
-        Phase::Answering => held.poll_left(cx),
+/// Completes when the client of a request that is being answered has disconnected. hyper notices that only if
+/// no bytes follow the request.
+async fn client_disconnected<S: AsyncRead + AsyncWrite + Unpin>(
+    conn: &ClientConnection,
+    shared: &SharedStream<S>,
+) {
+    poll_fn(|cx| match conn.phase.get() {
+        Phase::Answering => shared.poll_disconnected(cx),
         Phase::Idle | Phase::Reading => Poll::Pending,
     })
     .await;
 }
 
-/// Tells the driver of a client that left: hyper drops the answer's future with its connection.
-struct Waiting {
-    ticket: u64,
-    tell: Tell,
-    over: Rc<Cell<bool>>,
+/// Notifies the driver if the client disconnects: hyper drops the future of the answer with the connection.
+struct DisconnectGuard {
+    number: u64,
+    events: EventSink,
+    finished: Rc<Cell<bool>>,
     answered: bool,
 }
 
-impl Drop for Waiting {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if !self.answered {
-            self.over.set(true);
-            (self.tell)(Word::Left(self.ticket));
+            self.finished.set(true);
+            (self.events)(ClientEvent::Disconnected(self.number));
         }
     }
 }
 
-async fn respond(front: &Front, request: Request<Incoming>, place: &Place, whole_by: Instant) -> Reply {
-    let response = answer(front, request, place, whole_by).await.unwrap_or_else(|rejected| rejected);
-    front.answered.set(Some(Instant::now()));
+async fn respond(
+    frontend: &Frontend,
+    request: Request<Incoming>,
+    conn: &ClientConnection,
+    deadline: Instant,
+) -> Reply {
+    let response =
+        handle_request(frontend, request, conn, deadline).await.unwrap_or_else(|rejection| rejection);
+    frontend.last_answer_at.set(Some(Instant::now()));
     response
 }
 
 fn asks_to_close(request: &Request<Incoming>) -> bool {
-    let asked = request.headers().get(CONNECTION).and_then(|value| value.to_str().ok());
-    asked.is_some_and(|asked| asked.split(',').any(|word| word.trim().eq_ignore_ascii_case("close")))
+    let tokens = request.headers().get(CONNECTION).and_then(|value| value.to_str().ok());
+    tokens.is_some_and(|tokens| tokens.split(',').any(|token| token.trim().eq_ignore_ascii_case("close")))
 }
 
 type Reply = Response<Full<Bytes>>;
 
-async fn answer(
-    front: &Front,
+async fn handle_request(
+    frontend: &Frontend,
     request: Request<Incoming>,
-    place: &Place,
-    whole_by: Instant,
+    conn: &ClientConnection,
+    deadline: Instant,
 ) -> Result<Reply, Reply> {
-    // A client's time runs from when it sent: a node that is behind has kept the request waiting unread.
+    // A client's timeout runs from when it sent the request, which may have waited unread on a lagging node.
     let now = Instant::now();
-    let behind = front.pulse.lag(now);
-    let at = now.checked_sub(behind.max(place.unaccepted(now))).unwrap_or(now);
+    let lag = frontend.lag_monitor.current_lag(now);
+    let received_at = now.checked_sub(lag.max(conn.time_in_backlog(now))).unwrap_or(now);
     let (head, body) = request.into_parts();
-    let target =
-        head.uri.path_and_query().cloned().ok_or_else(|| plain(StatusCode::BAD_REQUEST, "no path"))?;
+    let target = head
+        .uri
+        .path_and_query()
+        .cloned()
+        .ok_or_else(|| text_response(StatusCode::BAD_REQUEST, "no path"))?;
     if target.path() == "/healthz" {
         return match head.method {
-            Method::GET if front.ready.get() && *front.stage.borrow() == Stage::Serving => {
-                Ok(plain(StatusCode::OK, "ready"))
+            Method::GET if frontend.ready.get() && *frontend.stage.borrow() == Stage::Serving => {
+                Ok(text_response(StatusCode::OK, "ready"))
             }
-            Method::GET => Ok(plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")),
-            _ => Err(wrong_method("GET")),
+            Method::GET => Ok(text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")),
+            _ => Err(method_not_allowed("GET")),
         };
     }
     let key = target.path().strip_prefix("/api/").and_then(|rest| rest.rsplit('/').next());
     let Some(key) = key.filter(|key| !key.is_empty()).map(key_number) else {
-        return Err(plain(StatusCode::NOT_FOUND, "no such path"));
+        return Err(text_response(StatusCode::NOT_FOUND, "no such path"));
     };
     if head.method != Method::GET && head.method != Method::PUT {
-        return Err(wrong_method("GET, PUT"));
+        return Err(method_not_allowed("GET, PUT"));
     }
-    let asked = read_head(front, &head.headers).map_err(|what| plain(StatusCode::BAD_REQUEST, what))?;
-    let too_large = || plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is larger than 64 KiB");
-    if body.size_hint().lower() > LARGEST_BODY as u64 {
+    let headers = parse_headers(frontend, &head.headers)
+        .map_err(|what| text_response(StatusCode::BAD_REQUEST, what))?;
+    let too_large = || text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is larger than 64 KiB");
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(too_large());
     }
-    let body = match timeout_at(whole_by, Limited::new(body, LARGEST_BODY).collect()).await {
+    let body = match timeout_at(deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(too_large()),
-        Err(_) => return Err(plain(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
-        Ok(Err(_)) => return Err(plain(StatusCode::BAD_REQUEST, "the body broke off")),
+        Err(_) => return Err(text_response(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
+        Ok(Err(_)) => return Err(text_response(StatusCode::BAD_REQUEST, "the body broke off")),
     };
-    place.phase.set(Phase::Answering);
-    Ok(hand_over(front, (at, behind), key, target, head.method, asked, body).await)
+    conn.phase.set(Phase::Answering);
+    Ok(submit(frontend, (received_at, lag), key, target, head.method, headers, body).await)
 }
 
-/// What the headers of a request say.
-struct Asked {
+/// The parsed headers of a request.
+struct RequestHeaders {
     id: HeaderValue,
     idempotency_key: Option<HeaderValue>,
-    patience: Duration,
+    timeout: Duration,
     class: ClassId,
     tenant: Option<TenantId>,
     expected_work: Option<Duration>,
     client_retry: bool,
 }
 
-fn read_head(front: &Front, headers: &HeaderMap) -> Result<Asked, &'static str> {
+fn parse_headers(frontend: &Frontend, headers: &HeaderMap) -> Result<RequestHeaders, &'static str> {
     let id = headers.get(REQ_ID).filter(|id| !id.is_empty()).ok_or("no Req-Id")?;
     let class = text(headers, &REQ_KIND)?.ok_or("no Req-Kind")?;
     let class =
-        front.classes.iter().position(|(name, _)| name.as_str() == class).ok_or("unknown Req-Kind")?;
+        frontend.classes.iter().position(|(name, _)| name.as_str() == class).ok_or("unknown Req-Kind")?;
     let tenant = match text(headers, &REQ_OWNER)? {
-        // Where there are no tenants, whatever stands there means nothing.
-        _ if front.tenants.is_empty() => None,
+        // Without configured tenants the header has no meaning.
+        _ if frontend.tenants.is_empty() => None,
         None => return Err("no Req-Owner"),
         Some(owner) => {
-            let place = front.tenants.iter().position(|name| name.as_str() == owner);
-            Some(TenantId(place.ok_or("unknown Req-Owner")?))
+            let index = frontend.tenants.iter().position(|name| name.as_str() == owner);
+            Some(TenantId(index.ok_or("unknown Req-Owner")?))
         }
     };
-    // In 32 bits it is under 50 days: far beyond any client's patience, and safe to add to a clock.
-    let patience: u32 =
+    // 32 bits of milliseconds are under 50 days: far beyond any client's timeout, and safe to add to a clock.
+    let timeout: u32 =
         number(headers, &REQ_DEADLINE, "unreadable Req-Deadline-Ms")?.ok_or("no Req-Deadline-Ms")?;
     let cost: Option<u32> = number(headers, &REQ_COST, "unreadable Req-Cost")?;
-    Ok(Asked {
+    Ok(RequestHeaders {
         id: id.clone(),
         idempotency_key: headers.get(IDEMPOTENCY_KEY).cloned(),
-        patience: Duration::from_millis(patience.into()),
+        timeout: Duration::from_millis(timeout.into()),
         class: ClassId(class),
         tenant,
         expected_work: cost.map(|us| Duration::from_micros(us.into())),
@@ -618,7 +645,7 @@
     text(headers, name)?.map(|text| text.parse().map_err(|_| error)).transpose()
 }
 
-/// Keys are 64-bit numbers in hexadecimal; any other name goes by its hash, the same at every node.
+/// Keys are 64-bit hexadecimal numbers; any other name is hashed, with the same result on every node.
 fn key_number(name: &str) -> u64 {
     u64::from_str_radix(name, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
@@ -627,61 +654,67 @@
     })
 }
 
-async fn hand_over(
-    front: &Front,
-    (at, behind): (Instant, Duration),
+async fn submit(
+    frontend: &Frontend,
+    (received_at, lag): (Instant, Duration),
     key: u64,
     target: PathAndQuery,
     method: Method,
-    asked: Asked,
+    headers: RequestHeaders,
     body: Bytes,
 ) -> Reply {
-    let ticket = front.tickets.replace(front.tickets.get() + 1);
+    let number = frontend.next_number.replace(frontend.next_number.get() + 1);
     let (sender, receiver) = oneshot::channel();
-    let over = Rc::new(Cell::new(false));
-    let (kind, aim) = front.classes[asked.class.0].clone();
-    let taken = Taken {
-        ticket,
-        at,
-        behind,
-        patience: asked.patience,
-        class: asked.class,
-        kind,
-        aim,
-        tenant: asked.tenant,
+    let finished = Rc::new(Cell::new(false));
+    let (class_name, latency_target) = frontend.classes[headers.class.0].clone();
+    let client_request = ClientRequest {
+        number,
+        received_at,
+        lag,
+        timeout: headers.timeout,
+        class: headers.class,
+        class_name,
+        latency_target,
+        tenant: headers.tenant,
         key: Some(key),
-        expected_work: asked.expected_work,
+        expected_work: headers.expected_work,
         write: method == Method::PUT,
-        client_retry: asked.client_retry,
-        message: Message { method, target, id: asked.id, idempotency_key: asked.idempotency_key, body },
-        over: over.clone(),
+        client_retry: headers.client_retry,
+        upstream_request: UpstreamRequest {
+            method,
+            target,
+            id: headers.id,
+            idempotency_key: headers.idempotency_key,
+            body,
+        },
+        finished: finished.clone(),
         answer: sender,
     };
-    let mut waiting = Waiting { ticket, tell: front.tell.clone(), over, answered: false };
-    (front.tell)(Word::Taken(Box::new(taken)));
-    // Whoever answers only goes when the node does; its silence is a failure all the same.
+    let mut guard = DisconnectGuard { number, events: frontend.events.clone(), finished, answered: false };
+    (frontend.events)(ClientEvent::Request(Box::new(client_request)));
+    // The sender is dropped only when the node exits; a missing answer is a failure all the same.
     let answer = receiver.await.unwrap_or(Answer::Failed);
-    waiting.answered = true;
+    guard.answered = true;
     match answer {
         Answer::Served(body) => Response::new(Full::new(body)),
         Answer::Refused { retry_after } => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused: try again later");
+            let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused: try again later");
             if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", retry_after.as_secs_f64())) {
                 response.headers_mut().insert(RETRY_AFTER, seconds);
             }
             response
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
+        Answer::Failed => text_response(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
-fn wrong_method(allowed: &'static str) -> Reply {
-    let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "no such method");
+fn method_not_allowed(allowed: &'static str) -> Reply {
+    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "no such method");
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Reply {
+fn text_response(status: StatusCode, text: &'static str) -> Reply {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,9 +1,10 @@
-//! A TCP stream that reads and writes on whatever a call moved.
+//! A TCP stream that accepts short reads and writes.
 //!
-//! tokio's own stream takes a read that fills only a part of its buffer for proof that the socket is drained, and waits
-//! for news of the socket before it reads again. A read may come short all the same, and then nothing is new where bytes
-//! lie already: what they belong to is never answered. This one reads on until the system says that nothing is there.
-//! An interrupted call is made again, and is no broken connection.
+//! tokio's own stream takes a read that fills only a part of its buffer as proof that the socket is drained,
+//! and waits for a readiness event before it reads again. But a read may be short while more bytes are
+//! available; no event follows then, and the request in those bytes is never answered. This stream reads on
+//! until the system reports that nothing is available. It repeats interrupted calls rather than treating them
+//! as a broken connection.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
@@ -11,14 +12,15 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// See the module's documentation.
+/// See the module documentation.
 #[derive(Debug)]
 pub struct Stream(TcpStream);
 
 impl From<TcpStream> for Stream {
-    /// Small writes go out at once: a close may follow that would take what the system holds back with it.
+    /// Sends small writes at once: a close that follows could discard what the system holds back.
     fn from(stream: TcpStream) -> Self {
-        // A socket that refuses this still carries bytes; where its connection is over the next call says so.
+        // A socket that refuses this option still carries bytes; if the connection is closed, the next call
+        // reports it.
         let _ = stream.set_nodelay(true);
         Self(stream)
     }
@@ -33,15 +35,15 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match write(&self.0) {
-                Err(error) if is_for_now(&error) => {}
-                wrote => return Poll::Ready(wrote),
+                Err(error) if should_retry(&error) => {}
+                result => return Poll::Ready(result),
             }
         }
     }
 }
 
-/// The call is to be made again, after the next look whether the socket is ready.
-fn is_for_now(error: &io::Error) -> bool {
+/// Whether the call is to be repeated once the socket is ready again.
+fn should_retry(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
@@ -54,7 +56,7 @@
                     buf.advance(read);
                     return Poll::Ready(Ok(()));
                 }
-                Err(error) if is_for_now(&error) => {}
+                Err(error) if should_retry(&error) => {}
                 Err(error) => return Poll::Ready(Err(error)),
             }
         }
--- a/src/net/transient.rs
+++ b/src/net/transient.rs
@@ -1,4 +1,5 @@
-//! Failures that pass: what the system or a file cannot give just now is asked for again, for a while.
+//! Retries of calls that fail for a moment: system calls that lack a resource, and files that are being
+//! replaced.
 
 use crate::net::config::fault::ConfigError;
 use std::io::{self, ErrorKind};
@@ -6,22 +7,22 @@
 use tokio::time::{sleep, Instant};
 use tracing::warn;
 
-/// From one try to the next.
-const STEP: Duration = Duration::from_millis(50);
-/// For so long a start waits for what it needs: a restarted node is to be ready within 10 s.
-pub const START_PATIENCE: Duration = Duration::from_secs(8);
-/// For so long a reload waits for a file that is being replaced, or that there is no descriptor for: what discovery has
-/// at its new address counts as told 4 s after the signal.
-pub const RELOAD_PATIENCE: Duration = Duration::from_secs(2);
+/// Interval between attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a starting node retries: a restarted node must be ready within 10 s.
+pub const STARTUP_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long a reload retries while the file is being replaced or no file descriptor is available: what
+/// discovery has at its new address counts as announced to the node 4 s after the signal.
+pub const RELOAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An error that may have passed a moment later.
+/// An error that may be transient.
 pub trait Transient: std::fmt::Display {
-    /// Whether trying again may help.
-    fn may_pass(&self) -> bool;
+    /// Whether a retry may succeed.
+    fn is_transient(&self) -> bool;
 }
 
 impl Transient for io::Error {
-    fn may_pass(&self) -> bool {
+    fn is_transient(&self) -> bool {
         !matches!(
             self.kind(),
             ErrorKind::InvalidData
@@ -36,42 +37,42 @@
 }
 
 impl Transient for ConfigError {
-    fn may_pass(&self) -> bool {
+    fn is_transient(&self) -> bool {
         match self {
-            Self::Unreadable { error, .. } => error.may_pass(),
-            Self::NoPath | Self::Faulty { .. } => false,
+            Self::Unreadable { error, .. } => error.is_transient(),
+            Self::NoPath | Self::Invalid { .. } => false,
         }
     }
 }
 
-/// Makes a call until it succeeds, fails for good, or has failed for as long as `patience`.
+/// Repeats a call until it succeeds, fails permanently, or has failed for `timeout`.
 pub async fn retry<T, E: Transient>(
-    patience: Duration,
-    what: &str,
+    timeout: Duration,
+    operation: &str,
     call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    retry_while(patience, what, E::may_pass, call).await
+    retry_while(timeout, operation, E::is_transient, call).await
 }
 
-/// The same, with another say on which failures may pass.
+/// Like [`retry`], with another test for transient errors.
 pub async fn retry_while<T, E: std::fmt::Display>(
-    patience: Duration,
-    what: &str,
-    may_pass: impl Fn(&E) -> bool,
+    timeout: Duration,
+    operation: &str,
+    is_transient: impl Fn(&E) -> bool,
     mut call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
     let start = Instant::now();
     let mut failures = 0u32;
     loop {
         match call() {
-            Err(error) if may_pass(&error) && start.elapsed() < patience => {
+            Err(error) if is_transient(&error) && start.elapsed() < timeout => {
                 failures += 1;
                 if failures == 1 {
-                    warn!(target: "node", %error, "{what} failed, and is tried again");
+                    warn!(target: "node", %error, "{operation} failed; retrying for up to {timeout:?}");
                 }
-                sleep(STEP).await;
+                sleep(RETRY_INTERVAL).await;
             }
-            done => return done,
+            result => return result,
         }
     }
 }
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -1,7 +1,7 @@
-//! Connections to cache servers, one request at a time on each; attempts and how they end.
+//! Connection pools to cache servers, with one request at a time on each connection, and attempts on them.
 
 use crate::net::stream::Stream;
-use crate::net::watched::{Watch, Watched};
+use crate::net::watched::{IoObserver, ObservedStream};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -23,31 +23,35 @@
 use walkpick::wire::read_load;
 use walkpick::{Availability, LoadReport, Note, ServerEntry, ServerId, Status, Timestamp};
 
-/// The largest body of a message either way.
-pub const LARGEST_BODY: usize = 64 << 10;
+/// Maximum size of a request or response body.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 pub const REQ_ID: HeaderName = HeaderName::from_static("req-id");
 pub const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const DECLINED: HeaderName = HeaderName::from_static("srv-declined");
 const LOAD: HeaderName = HeaderName::from_static("srv-load");
 const CACHE: HeaderName = HeaderName::from_static("srv-cache");
-const SWEEP: Duration = Duration::from_secs(1);
-
-/// So long a connection rests after an answer. A second answer may follow some milliseconds behind the first, and a
-/// request sent before it has come would be served with it: by the end of the rest it has closed the connection.
-const REST: Duration = Duration::from_millis(20);
-
-/// Lengths of idle time told apart, each twice the one before, from under a millisecond up.
-const LENGTHS: usize = 16;
-/// Uses over which the share of broken ones is averaged, and the share past which a connection is not used.
-const WEAR_SPAN: f64 = 16.0;
-const WORN: f64 = 0.25;
-/// What was learnt of an idle time counts half after this long, so that it is tried again by and by.
-const WEAR_HALF: Duration = Duration::from_secs(10);
-
-/// What of a client's request goes on to a cache server.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// How long a connection stays idle after an answer before it is reused. A duplicate answer may follow some
+/// milliseconds after the first and would be taken for the answer to the next request. By the end of this
+/// time it has closed the connection.
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
+
+/// Number of ranges of idle time that are tracked separately; each is twice as long as the one before, from
+/// under 1 ms up.
+const IDLE_BUCKETS: usize = 16;
+/// Number of reuses over which the failure rate is averaged, and the rate above which a connection is not
+/// reused.
+const FAILURE_RATE_WINDOW: f64 = 16.0;
+const MAX_FAILURE_RATE: f64 = 0.25;
+/// Half-life of a measured failure rate, so that connections with such an idle time are tried again
+/// eventually.
+const FAILURE_RATE_HALF_LIFE: Duration = Duration::from_secs(10);
+
+/// The parts of a client's request that are forwarded to a cache server.
 #[derive(Debug)]
-pub struct Message {
+pub struct UpstreamRequest {
     pub method: Method,
     pub target: PathAndQuery,
     pub id: HeaderValue,
@@ -55,114 +59,115 @@
     pub body: Bytes,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     pub status: Status,
     pub note: Option<Note>,
     pub load: LoadReport,
-    /// The body of a 200 answer, whole.
+    /// The complete body of a 200 response.
     pub body: Option<Bytes>,
 }
 
-impl Ended {
-    /// An end that came with no answer.
+impl AttemptResult {
+    /// A result without an answer from the server.
     pub fn without_answer(status: Status) -> Self {
         Self { status, note: None, load: LoadReport::default(), body: None }
     }
 }
 
-/// Whether an attempt may begin: looked at right before its first byte, whatever went on while its connection came up.
+/// Decides whether an attempt may start. It is checked right before the first byte is sent, since the
+/// situation may have changed while the connection was being established.
 #[derive(Clone, Debug)]
-pub struct Start {
-    /// The request is over: its client has left, or has its final answer.
-    pub over: Rc<Cell<bool>>,
-    /// From here on a repeat may run twice, or nobody waits.
-    pub by: Instant,
-    /// The attempt has begun: what it comes to is the server's to say.
-    pub begun: Rc<Cell<bool>>,
+pub struct StartCondition {
+    /// Set when the client has left or has its final answer.
+    pub request_finished: Rc<Cell<bool>>,
+    /// After this time a repeat might run twice, or nobody waits for the answer.
+    pub deadline: Instant,
+    /// Set when the attempt has started; from then on only the server can tell its outcome.
+    pub started: Rc<Cell<bool>>,
 }
 
-impl Start {
-    /// Begins the attempt, if it may.
-    fn begin(&self) -> bool {
-        let may = !self.over.get() && Instant::now() < self.by;
-        self.begun.set(may);
-        may
+impl StartCondition {
+    /// Starts the attempt if that is allowed.
+    fn try_start(&self) -> bool {
+        let allowed = !self.request_finished.get() && Instant::now() < self.deadline;
+        self.started.set(allowed);
+        allowed
     }
 }
 
-/// Whether a request has left this machine's hands whole.
+/// Tracks whether a request has been handed to the system completely.
 #[derive(Debug, Default)]
-struct Written {
-    begun: Cell<bool>,
-    whole: Cell<bool>,
+struct WriteProgress {
+    started: Cell<bool>,
+    complete: Cell<bool>,
 }
 
-impl Written {
+impl WriteProgress {
     fn reset(&self) {
-        self.begun.set(false);
-        self.whole.set(false);
+        self.started.set(false);
+        self.complete.set(false);
     }
 }
 
-/// hyper puts a head and a body that is at hand into one buffer and flushes the socket only when that is empty: a
-/// flush after a write is the end of it.
-impl Watch for Rc<Written> {
-    fn wrote(&self) {
-        self.begun.set(true);
+/// hyper puts the head and an available body into one buffer and flushes the socket only when that buffer is
+/// empty, so a flush after a write marks the end of the request.
+impl IoObserver for Rc<WriteProgress> {
+    fn on_write(&self) {
+        self.started.set(true);
     }
 
-    fn flushed(&self) {
-        if self.begun.get() {
-            self.whole.set(true);
+    fn on_flush(&self) {
+        if self.started.get() {
+            self.complete.set(true);
         }
     }
 }
 
-/// How kept connections end when they are used again, by how long they stood idle. Servers close idle ones at
-/// the latest after the time in the settings: some do so far sooner and without a sign, and then a request
-/// that must not run twice is lost on them.
+/// Failure rates of reused connections by the time they were idle. Servers close idle connections after the
+/// time in the settings at the latest, but some close them much earlier without a sign. A request that must
+/// not run twice is then lost.
 #[derive(Debug, Default)]
-struct Wear([Cell<Option<(f64, Instant)>>; LENGTHS]);
+struct ReuseFailureRates([Cell<Option<(f64, Instant)>>; IDLE_BUCKETS]);
 
-impl Wear {
-    fn length(&self, idle: Duration) -> &Cell<Option<(f64, Instant)>> {
+impl ReuseFailureRates {
+    fn bucket(&self, idle: Duration) -> &Cell<Option<(f64, Instant)>> {
         let doublings = idle.as_millis().checked_ilog2().map_or(0, |n| n as usize + 1);
-        &self.0[doublings.min(LENGTHS - 1)]
+        &self.0[doublings.min(IDLE_BUCKETS - 1)]
     }
 
-    /// The share that broke lately of those that had stood idle for about so long.
-    fn share(&self, idle: Duration, now: Instant) -> f64 {
-        self.length(idle).get().map_or(0.0, |(share, at)| {
+    /// The recent failure rate of connections that were idle for about this long.
+    fn rate(&self, idle: Duration, now: Instant) -> f64 {
+        self.bucket(idle).get().map_or(0.0, |(rate, at)| {
             let age = now.saturating_duration_since(at).as_secs_f64();
-            share * (-age / WEAR_HALF.as_secs_f64()).exp2()
+            rate * (-age / FAILURE_RATE_HALF_LIFE.as_secs_f64()).exp2()
         })
     }
 
-    fn note(&self, idle: Duration, broke: bool, now: Instant) {
-        let share = self.share(idle, now);
-        let broke = if broke { 1.0 } else { 0.0 };
-        self.length(idle).set(Some((share + (broke - share) / WEAR_SPAN, now)));
+    fn record(&self, idle: Duration, failed: bool, now: Instant) {
+        let rate = self.rate(idle, now);
+        let failed = if failed { 1.0 } else { 0.0 };
+        self.bucket(idle).set(Some((rate + (failed - rate) / FAILURE_RATE_WINDOW, now)));
     }
 }
 
-/// A place among the descriptors that connections to cache servers may hold.
-struct Slot(Rc<Cell<usize>>);
+/// Counts one open connection to a cache server against the limit.
+struct ConnectionPermit(Rc<Cell<usize>>);
 
-impl Drop for Slot {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// A connection. Dropping it closes the socket at once, also with an answer under way: that is how an
-/// attempt is given up.
+/// A connection. Dropping it closes the socket at once, even while an answer is outstanding; that is how an
+/// attempt is cancelled.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    written: Rc<Written>,
+    written: Rc<WriteProgress>,
     task: AbortHandle,
-    kept: Instant,
+    idle_since: Instant,
 }
 
 impl Drop for Connection {
@@ -173,236 +178,244 @@
 
 /// The connection pool of a cache server.
 struct Pool {
-    dial: Cell<SocketAddr>,
+    address: Cell<SocketAddr>,
     takes_work: Cell<bool>,
-    /// When its process started, as far as discovery told: what was connected to an earlier one is dead.
+    /// When the server's process started, according to discovery. Connections to an earlier process are dead.
     started: Cell<Option<Timestamp>>,
-    /// The one used last stands last.
+    /// Idle connections, the most recently used one last.
     idle: RefCell<Vec<Connection>>,
 }
 
 impl Pool {
-    /// Of the kept connections that have rested, the one used last.
-    fn rested(&self, now: Instant) -> Option<Connection> {
+    /// Takes the most recently used connection that has been idle for long enough.
+    fn take_reusable(&self, now: Instant) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let rested = idle.iter().rposition(|kept| now.saturating_duration_since(kept.kept) >= REST)?;
-        Some(idle.remove(rested))
+        let index = idle
+            .iter()
+            .rposition(|kept| now.saturating_duration_since(kept.idle_since) >= MIN_IDLE_BEFORE_REUSE)?;
+        Some(idle.remove(index))
     }
 }
 
-/// The connection pools of all cache servers, by id.
+/// The connection pools of all cache servers, by server id.
 pub struct Upstream {
     pools: RefCell<HashMap<ServerId, Rc<Pool>>>,
     open: Rc<Cell<usize>>,
-    most: usize,
+    max_connections: usize,
     connect_timeout: Duration,
     idle_limit: Duration,
-    wear: Wear,
+    failure_rates: ReuseFailureRates,
 }
 
 impl Upstream {
-    /// Keeps at most `most` connections.
-    pub fn new(most: usize, connect_timeout: Duration, keepalive: Duration) -> Self {
+    /// Keeps at most `max_connections` connections open.
+    pub fn new(max_connections: usize, connect_timeout: Duration, keepalive: Duration) -> Self {
         Self {
             pools: RefCell::default(),
             open: Rc::default(),
-            most,
+            max_connections,
             connect_timeout,
             idle_limit: idle_limit(keepalive, connect_timeout),
-            wear: Wear::default(),
+            failure_rates: ReuseFailureRates::default(),
         }
     }
 
-    /// Takes in what discovery says of a server.
-    pub fn learn(&self, entry: &ServerEntry, dial: Option<SocketAddr>) {
+    /// Applies a discovery entry to the server's pool.
+    pub fn apply(&self, entry: &ServerEntry, dial: Option<SocketAddr>) {
         let takes_work = entry.availability == Availability::Ready;
         let mut pools = self.pools.borrow_mut();
         if let Some(pool) = pools.get(&entry.id) {
-            let moved = dial.is_some_and(|dial| pool.dial.replace(dial) != dial);
+            let moved = dial.is_some_and(|dial| pool.address.replace(dial) != dial);
             let restarted = pool.started.replace(entry.started) != entry.started;
             pool.takes_work.set(takes_work);
             if moved || restarted || !takes_work {
                 let closed = pool.idle.borrow_mut().drain(..).count();
-                debug!(target: "servers", server = %entry.id, closed, moved, restarted, takes_work, "idle connections close");
+                debug!(target: "servers", server = %entry.id, closed, moved, restarted, takes_work, "idle connections closed");
             }
         } else if let Some(dial) = dial {
-            let (dial, takes_work, started) =
+            let (address, takes_work, started) =
                 (Cell::new(dial), Cell::new(takes_work), Cell::new(entry.started));
             let idle = RefCell::default();
-            pools.insert(entry.id.clone(), Rc::new(Pool { dial, takes_work, started, idle }));
+            pools.insert(entry.id.clone(), Rc::new(Pool { address, takes_work, started, idle }));
         }
     }
 
-    /// Forgets a server that is gone. An attempt on its way there sees that it takes no work any more.
-    pub fn forget(&self, server: &ServerId) {
+    /// Removes a server. Attempts that are still connecting to it see that it no longer takes work.
+    pub fn remove(&self, server: &ServerId) {
         if let Some(pool) = self.pools.borrow_mut().remove(server) {
             pool.takes_work.set(false);
             let closed = pool.idle.borrow_mut().drain(..).count();
-            debug!(target: "servers", %server, closed, "idle connections close: the server is gone");
+            debug!(target: "servers", %server, closed, "idle connections closed: server removed");
         }
     }
 
-    /// Forgets all servers but those that `keep` names: a whole list lacks the others.
+    /// Removes all servers but those for which `keep` is true; used for full lists.
     pub fn retain(&self, keep: impl Fn(&ServerId) -> bool) {
-        let left: Vec<_> = self.pools.borrow().keys().filter(|id| !keep(id)).cloned().collect();
-        left.iter().for_each(|id| self.forget(id));
+        let removed: Vec<_> = self.pools.borrow().keys().filter(|id| !keep(id)).cloned().collect();
+        removed.iter().for_each(|id| self.remove(id));
     }
 
     /// Closes the idle connections to a server.
     pub fn close_idle(&self, server: &ServerId) {
         if let Some(pool) = self.pools.borrow().get(server) {
             let closed = pool.idle.borrow_mut().drain(..).count();
-            debug!(target: "servers", %server, closed, "idle connections close: they are used too seldom");
+            debug!(target: "servers", %server, closed, "idle connections closed: rarely used");
         }
     }
 
-    /// Retires idle connections before their servers do.
+    /// Closes idle connections before their servers do.
     pub async fn sweep(self: Rc<Self>) {
         loop {
-            sleep(SWEEP).await;
+            sleep(SWEEP_INTERVAL).await;
             for pool in self.pools.borrow().values() {
-                pool.idle.borrow_mut().retain(|kept| self.fresh(kept));
+                pool.idle.borrow_mut().retain(|kept| self.is_reusable(kept));
             }
         }
     }
 
-    fn fresh(&self, connection: &Connection) -> bool {
-        let (idle, now) = (connection.kept.elapsed(), Instant::now());
-        !connection.sender.is_closed() && idle < self.idle_limit && self.wear.share(idle, now) <= WORN
+    fn is_reusable(&self, connection: &Connection) -> bool {
+        let (idle, now) = (connection.idle_since.elapsed(), Instant::now());
+        !connection.sender.is_closed()
+            && idle < self.idle_limit
+            && self.failure_rates.rate(idle, now) <= MAX_FAILURE_RATE
     }
 
-    /// One attempt, until its answer is whole, its connection breaks or `until` comes. One that may not begin when
-    /// its connection is there is not sent: the news may have come, or the client have left, meanwhile.
+    /// Makes one attempt, until its answer is complete, its connection breaks or `until` has passed. After
+    /// connecting, it is not sent if it may no longer start: the server may have been withdrawn or the client
+    /// may have left meanwhile.
     pub async fn attempt(
         &self,
         server: &ServerId,
-        message: &Message,
+        message: &UpstreamRequest,
         until: Instant,
-        start: &Start,
-    ) -> Ended {
+        start: &StartCondition,
+    ) -> AttemptResult {
         let pool = self.pools.borrow().get(server).cloned();
-        let Some(pool) = pool else { return Ended::without_answer(Status::Ignored) };
-        let (mut connection, idle) = match timeout_at(until.min(start.by), self.connection(&pool)).await {
+        let Some(pool) = pool else { return AttemptResult::without_answer(Status::Ignored) };
+        let (mut connection, idle) = match timeout_at(until.min(start.deadline), self.connection(&pool)).await
+        {
             Ok(Ok(connected)) => connected,
-            // No server's fault: all places for connections are taken by attempts that are out.
+            // Not the server's fault: all permitted connections are in use by other attempts.
             Ok(Err(error)) if error.kind() == io::ErrorKind::QuotaExceeded => {
-                return Ended::without_answer(Status::Ignored)
+                return AttemptResult::without_answer(Status::Ignored)
             }
-            _ => return Ended::without_answer(Status::ConnectError),
+            _ => return AttemptResult::without_answer(Status::ConnectError),
         };
         if !pool.takes_work.get() {
-            return Ended::without_answer(Status::Ignored);
+            return AttemptResult::without_answer(Status::Ignored);
         }
-        if !start.begin() {
-            self.keep(&pool, connection);
-            return Ended::without_answer(Status::Ignored);
+        if !start.try_start() {
+            self.return_to_pool(&pool, connection);
+            return AttemptResult::without_answer(Status::Ignored);
         }
-        let Ok(request) = request(&pool, message, until) else {
-            return Ended::without_answer(Status::ConnectError);
+        let Ok(request) = build_request(&pool, message, until) else {
+            return AttemptResult::without_answer(Status::ConnectError);
         };
         connection.written.reset();
         let answer = timeout_at(until, exchange(&mut connection.sender, request)).await;
-        let whole = connection.written.whole.get();
+        let fully_sent = connection.written.complete.get();
         if let (Some(idle), Ok(answer)) = (idle, &answer) {
-            self.wear.note(idle, answer.is_err(), Instant::now());
+            self.failure_rates.record(idle, answer.is_err(), Instant::now());
         }
         match answer {
-            Ok(Ok((ended, reusable))) => {
+            Ok(Ok((result, reusable))) => {
                 if reusable && pool.takes_work.get() {
-                    self.keep(&pool, connection);
+                    self.return_to_pool(&pool, connection);
                 }
-                ended
+                result
             }
-            Ok(Err(_)) if whole => Ended::without_answer(Status::Reset),
-            Err(_) if whole => Ended::without_answer(Status::TimedOut),
-            _ => Ended::without_answer(Status::ConnectError),
+            Ok(Err(_)) if fully_sent => AttemptResult::without_answer(Status::Reset),
+            Err(_) if fully_sent => AttemptResult::without_answer(Status::TimedOut),
+            _ => AttemptResult::without_answer(Status::ConnectError),
         }
     }
 
-    fn keep(&self, pool: &Pool, mut connection: Connection) {
+    fn return_to_pool(&self, pool: &Pool, mut connection: Connection) {
         if !connection.sender.is_closed() {
-            connection.kept = Instant::now();
+            connection.idle_since = Instant::now();
             pool.idle.borrow_mut().push(connection);
         }
     }
 
-    /// A connection, and for how long it has stood idle if it is a kept one.
+    /// Returns a connection and, if it is a pooled one, how long it was idle.
     async fn connection(&self, pool: &Pool) -> io::Result<(Connection, Option<Duration>)> {
         loop {
-            let Some(mut kept) = pool.rested(Instant::now()) else { break };
-            if self.fresh(&kept) && kept.sender.ready().await.is_ok() {
-                let idle = kept.kept.elapsed();
+            let Some(mut kept) = pool.take_reusable(Instant::now()) else { break };
+            if self.is_reusable(&kept) && kept.sender.ready().await.is_ok() {
+                let idle = kept.idle_since.elapsed();
                 return Ok((kept, Some(idle)));
             }
         }
-        let slot = self.slot()?;
+        let permit = self.reserve_connection()?;
         let connecting = async {
-            let stream = Stream::from(TcpStream::connect(pool.dial.get()).await?);
-            let written = Rc::new(Written::default());
-            let watched = Watched { stream, watch: written.clone() };
-            let (sender, driving) =
-                http1::handshake(TokioIo::new(watched)).await.map_err(io::Error::other)?;
+            let stream = Stream::from(TcpStream::connect(pool.address.get()).await?);
+            let written = Rc::new(WriteProgress::default());
+            let observed = ObservedStream { stream, observer: written.clone() };
+            let (sender, connection) =
+                http1::handshake(TokioIo::new(observed)).await.map_err(io::Error::other)?;
             let task = tokio::task::spawn_local(async move {
-                // How it ends shows at the attempt on it, or when it is taken from the idle ones.
-                let _ = driving.await;
-                drop(slot);
+                // An error shows in the attempt on this connection, or when it is taken from the pool.
+                let _ = connection.await;
+                drop(permit);
             });
-            let (task, kept) = (task.abort_handle(), Instant::now());
-            Ok((Connection { sender, written, task, kept }, None))
+            let (task, idle_since) = (task.abort_handle(), Instant::now());
+            Ok((Connection { sender, written, task, idle_since }, None))
         };
         timeout(self.connect_timeout, connecting).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// A place for a new connection. Where all are taken the idle one that has stood longest gives way: a node
-    /// that met every server once must not be kept from the one it needs by connections that nobody uses.
-    fn slot(&self) -> io::Result<Slot> {
-        if self.open.get() >= self.most {
+    /// Reserves a new connection. If the limit is reached, the connection that has been idle longest is
+    /// closed: a node that has connected to every server once must still be able to reach the one it needs.
+    fn reserve_connection(&self) -> io::Result<ConnectionPermit> {
+        if self.open.get() >= self.max_connections {
             let pools = self.pools.borrow();
-            let oldest =
-                pools.values().filter_map(|p| Some((p.idle.borrow().first()?.kept, p))).min_by_key(|o| o.0);
+            let oldest = pools
+                .values()
+                .filter_map(|p| Some((p.idle.borrow().first()?.idle_since, p)))
+                .min_by_key(|o| o.0);
             match oldest {
                 Some((_, pool)) => drop(pool.idle.borrow_mut().remove(0)),
                 None => return Err(io::ErrorKind::QuotaExceeded.into()),
             }
         }
         self.open.set(self.open.get() + 1);
-        Ok(Slot(self.open.clone()))
+        Ok(ConnectionPermit(self.open.clone()))
     }
 }
 
-/// When a kept connection is retired. Its server closes it at the latest when it has stood idle for `keepalive`, and
-/// a request that is on its way then ends as a reset: no way takes longer than a connection may take to come up and
-/// back. Retired much sooner, the connections of a node that meets each server a few times a minute are made anew
-/// for most requests.
+/// When an idle connection is retired. Its server closes it after it has been idle for `keepalive` at the
+/// latest, and a request under way at that moment ends as a reset. The margin of twice the connect timeout
+/// covers the transit time both ways. With a much larger margin, a node that uses each server a few times a
+/// minute would have to reconnect for most requests.
 fn idle_limit(keepalive: Duration, connect_timeout: Duration) -> Duration {
     keepalive.saturating_sub(connect_timeout * 2).max(keepalive / 2)
 }
 
-fn request(
+fn build_request(
     pool: &Pool,
-    message: &Message,
+    message: &UpstreamRequest,
     until: Instant,
 ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-    let left = until.saturating_duration_since(Instant::now()).as_millis() as u64;
+    let remaining_ms = until.saturating_duration_since(Instant::now()).as_millis() as u64;
     let mut request = Request::builder()
         .method(message.method.clone())
         .uri(Uri::from(message.target.clone()))
-        .header(HOST, pool.dial.get().to_string())
+        .header(HOST, pool.address.get().to_string())
         .header(REQ_ID, message.id.clone())
-        .header(REQ_DEADLINE, left);
+        .header(REQ_DEADLINE, remaining_ms);
     if let Some(key) = &message.idempotency_key {
         request = request.header(IDEMPOTENCY_KEY, key.clone());
     }
     request.body(Full::new(message.body.clone()))
 }
 
-/// Sends a request and reads its answer. The flag says whether the connection may carry another.
+/// Sends a request and reads the answer. The flag says whether the connection can be reused.
 async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
-) -> Result<(Ended, bool), hyper::Error> {
+) -> Result<(AttemptResult, bool), hyper::Error> {
     let response = sender.send_request(request).await?;
-    let status = outcome(&response);
+    let status = response_status(&response);
     let text = |name: &HeaderName| response.headers().get(name).and_then(|value| value.to_str().ok());
     let note = match text(&CACHE) {
         Some("hit") => Some(Note::Hit),
@@ -411,20 +424,20 @@
         _ => None,
     };
     let load = text(&LOAD).map_or_else(LoadReport::default, |text| read_load(text, '='));
-    match Limited::new(response.into_body(), LARGEST_BODY).collect().await {
+    match Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await {
         Ok(body) => {
             let body = (status == Status::Ok).then(|| body.to_bytes());
-            Ok((Ended { status, note, load, body }, true))
+            Ok((AttemptResult { status, note, load, body }, true))
         }
         Err(error) => match error.downcast::<hyper::Error>() {
-            Ok(broken) => Err(*broken),
-            // Larger than any answer may be: it ran, and what it says is of no use.
-            Err(_) => Ok((Ended { status: Status::Failed, note, load, body: None }, false)),
+            Ok(error) => Err(*error),
+            // Larger than any valid answer: the request ran, but its answer is useless.
+            Err(_) => Ok((AttemptResult { status: Status::Failed, note, load, body: None }, false)),
         },
     }
 }
 
-fn outcome(response: &Response<Incoming>) -> Status {
+fn response_status(response: &Response<Incoming>) -> Status {
     let declined = response.headers().get(DECLINED).is_some_and(|value| value == "1");
     match response.status() {
         StatusCode::OK => Status::Ok,
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_connection_is_kept_until_shortly_before_its_server_closes_it() {
+fn a_connection_is_retired_shortly_before_its_server_closes_it() {
     let ms = Duration::from_millis;
     assert_eq!(idle_limit(ms(15_000), ms(200)), ms(14_600));
     // Where a connection may take longer to come up than servers keep one, half of that time is left.
--- a/src/net/watched.rs
+++ b/src/net/watched.rs
@@ -1,59 +1,59 @@
-//! A stream that tells of what passes through it.
+//! A stream that notifies an observer of reads, writes and flushes.
 
 use std::io;
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Who is told.
-pub trait Watch {
+/// The observer of a stream.
+pub trait IoObserver {
     /// Bytes were read.
-    fn read(&self) {}
+    fn on_read(&self) {}
     /// Bytes were written.
-    fn wrote(&self) {}
-    /// All that was written has been handed on.
-    fn flushed(&self) {}
+    fn on_write(&self) {}
+    /// All written bytes have been passed on.
+    fn on_flush(&self) {}
 }
 
-/// See the module's page.
-pub struct Watched<S, W> {
+/// See the module documentation.
+pub struct ObservedStream<S, W> {
     pub stream: S,
-    pub watch: W,
+    pub observer: W,
 }
 
-impl<S, W: Watch> Watched<S, W> {
-    fn note_write(&self, wrote: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if matches!(wrote, Poll::Ready(Ok(n)) if n > 0) {
-            self.watch.wrote();
+impl<S, W: IoObserver> ObservedStream<S, W> {
+    fn report_write(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        if matches!(result, Poll::Ready(Ok(n)) if n > 0) {
+            self.observer.on_write();
         }
-        wrote
+        result
     }
 }
 
-impl<S: AsyncRead + Unpin, W: Watch + Unpin> AsyncRead for Watched<S, W> {
+impl<S: AsyncRead + Unpin, W: IoObserver + Unpin> AsyncRead for ObservedStream<S, W> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let held = buf.filled().len();
+        let filled_before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
-        if buf.filled().len() > held {
-            self.watch.read();
+        if buf.filled().len() > filled_before {
+            self.observer.on_read();
         }
         read
     }
 }
 
-impl<S: AsyncWrite + Unpin, W: Watch + Unpin> AsyncWrite for Watched<S, W> {
+impl<S: AsyncWrite + Unpin, W: IoObserver + Unpin> AsyncWrite for ObservedStream<S, W> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.note_write(wrote)
+        let result = Pin::new(&mut self.stream).poll_write(cx, buf);
+        self.report_write(result)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.stream).poll_flush(cx))?;
-        self.watch.flushed();
+        self.observer.on_flush();
         Poll::Ready(Ok(()))
     }
 
@@ -70,7 +70,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.note_write(wrote)
+        let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
+        self.report_write(result)
     }
 }
