--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use walkpick::policy::subscription::Delivery;
-use walkpick::wire::{read_settings, SettingFault};
+use walkpick::wire::{parse_settings, InvalidSetting};
 use walkpick::Settings;
 
 /// The configuration of a node.
@@ -130,7 +130,7 @@
         seed: seed?,
         sockets: sockets?,
         known: known?,
-        settings: Settings { must_follow: false, ..settings },
+        settings: Settings { must_subscribe: false, ..settings },
         delivery,
         section,
     })
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
-use walkpick::policy::subscription::{Call, CALL_LIMIT, WAIT};
+use walkpick::policy::subscription::{Call, CALL_TIMEOUT, LONG_POLL_WAIT};
 
 /// The part of a call's time limit that is reserved for reading what has already arrived: a node that stalled
 /// finds the time limit over and a long list half read.
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use std::time::Duration;
-use walkpick::policy::subscription::{Delivery, CALL_LIMIT};
+use walkpick::policy::subscription::{Delivery, CALL_TIMEOUT};
 
 /// A discovery server that answers when the test says so, and reports what it has done.
 struct ScriptedDiscovery {
@@ -61,7 +61,7 @@
             discovery.answer.send(()).unwrap();
             // The node is stalled meanwhile.
             discovery.answered.recv_timeout(Duration::from_secs(60)).unwrap();
-            tokio::time::advance(CALL_LIMIT * 10).await;
+            tokio::time::advance(CALL_TIMEOUT * 10).await;
             while !calling.is_finished() {
                 tokio::task::yield_now().await;
             }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -268,7 +268,11 @@
         events: EventSink,
     ) -> Self {
         Self {
-            classes: settings.classes.iter().map(|class| (class.name.clone(), class.aim)).collect(),
+            classes: settings
+                .classes
+                .iter()
+                .map(|class| (class.name.clone(), class.latency_target))
+                .collect(),
             tenants: settings.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
             ready,
             lag_monitor,
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -20,8 +20,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::debug;
-use walkpick::wire::read_load;
-use walkpick::{Availability, LoadReport, Note, ServerEntry, ServerId, Status, Timestamp};
+use walkpick::wire::parse_load_report;
+use walkpick::{Availability, CacheStatus, LoadReport, ServerEntry, ServerId, Status, Timestamp};
 
 /// Maximum size of a request or response body.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct AttemptResult {
     pub status: Status,
-    pub note: Option<Note>,
+    pub note: Option<CacheStatus>,
     pub load: LoadReport,
     /// The complete body of a 200 response.
     pub body: Option<Bytes>,
@@ -418,9 +418,9 @@
     let status = response_status(&response);
     let text = |name: &HeaderName| response.headers().get(name).and_then(|value| value.to_str().ok());
     let note = match text(&CACHE) {
-        Some("hit") => Some(Note::Hit),
-        Some("miss") => Some(Note::Miss),
-        Some("pending") => Some(Note::MissFetching),
+        Some("hit") => Some(CacheStatus::Hit),
+        Some("miss") => Some(CacheStatus::Miss),
+        Some("pending") => Some(CacheStatus::MissFetching),
         _ => None,
     };
     let load = text(&LOAD).map_or_else(LoadReport::default, |text| read_load(text, '='));
