--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -122,7 +122,7 @@
     let section = section::read(file.get("walkpick"), faults);
     let settings = settings?;
     // On sockets, discovery answers only calls, and its client has a schedule of its own.
-    let delivery = if settings.must_follow { Delivery::Polled } else { Delivery::Pushed };
+    let delivery = if settings.must_subscribe { Delivery::Polled } else { Delivery::Pushed };
     Some(Config {
         name: name?,
         listen: listen?,
@@ -197,10 +197,10 @@
     // always carry one, and a refusal without one invites an immediate retry.
     pairs.retain(|(path, _)| path != RETRY_AFTER_SETTING);
     pairs.push((RETRY_AFTER_SETTING.to_owned(), true.to_string()));
-    match read_settings(&pairs) {
+    match parse_settings(&pairs) {
         Ok(settings) => Some(settings),
         Err(setting_faults) => {
-            faults.extend(setting_faults.into_iter().map(|SettingFault { path, found, expected }| {
+            faults.extend(setting_faults.into_iter().map(|InvalidSetting { path, found, expected }| {
                 let found = found.map_or_else(|| "nothing".to_owned(), |found| format!("{found:?}"));
                 Fault::new(format!("settings.{path}"), found, expected)
             }));
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -66,7 +66,7 @@
                     }
                 }
                 Some(id) = begun_answers.recv() => {
-                    self.subscription.answer_begins(id, Instant::now().into_std());
+                    self.subscription.answer_started(id, Instant::now().into_std());
                 }
                 () = sleep_until(due) => {}
             }
@@ -78,7 +78,7 @@
             handle.abort();
         }
         let (started_at, kept) = (Instant::now(), self.connection.take());
-        debug!(target: "discovery", after = call.after, kept = kept.is_some(), "discovery call started");
+        debug!(target: "discovery", after = call.after_version, kept = kept.is_some(), "discovery call started");
         // The receiver lives as long as the node.
         let on_answer_begins = move || {
             let _ = answer_begins.send(call.id);
@@ -98,7 +98,7 @@
         self.calls = JoinSet::new();
         self.handles.clear();
         self.connection = None;
-        self.subscription.moved(Instant::now().into_std());
+        self.subscription.endpoint_changed(Instant::now().into_std());
     }
 
     /// Returns `false` if there is no receiver for lists any more.
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -66,11 +66,11 @@
     on_answer_begins: impl FnOnce(),
 ) -> Result<(Listing, Connection), CallError> {
     let connecting = reuse_or_connect(address, kept);
-    let connected = timeout(call.connect_within, connecting).await;
+    let connected = timeout(call.connect_timeout, connecting).await;
     let mut connection = connected.unwrap_or(Err(CallError::ConnectTimeout))?;
     let listing = {
-        let mut answer = pin!(request_list(&mut connection, address, call.after, on_answer_begins));
-        match timeout(CALL_LIMIT - FINAL_READ_GRACE, &mut answer).await {
+        let mut answer = pin!(request_list(&mut connection, address, call.after_version, on_answer_begins));
+        match timeout(CALL_TIMEOUT - FINAL_READ_GRACE, &mut answer).await {
             Ok(answer) => answer,
             Err(_) => timeout(FINAL_READ_GRACE, answer).await.unwrap_or(Err(CallError::AnswerTimeout)),
         }
@@ -104,7 +104,7 @@
     on_answer_begins: impl FnOnce(),
 ) -> Result<Listing, CallError> {
     let path = match after {
-        Some(after) => format!("/v1/servers?after={after}&wait_ms={}", WAIT.as_millis()),
+        Some(after) => format!("/v1/servers?after={after}&wait_ms={}", LONG_POLL_WAIT.as_millis()),
         // Without a version discovery answers immediately.
         None => "/v1/servers".to_owned(),
     };
--- a/src/net/discovery/listing.rs
+++ b/src/net/discovery/listing.rs
@@ -62,7 +62,7 @@
             cell: self.block.unwrap_or(0),
             availability: match self.health.as_str() {
                 "ready" => Availability::Ready,
-                "gone" => Availability::Gone,
+                "gone" => Availability::Removed,
                 // Draining, or a state unknown to this version: send no new work to that server.
                 _ => Availability::Draining,
             },
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -210,7 +210,7 @@
         }
         for (host, entry) in listing.hosts.iter().zip(entries.iter()) {
             match entry.availability {
-                Availability::Gone => self.upstream.remove(&entry.id),
+                Availability::Removed => self.upstream.remove(&entry.id),
                 _ => self.upstream.apply(entry, host.dial()),
             }
         }
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -423,7 +423,7 @@
         Some("pending") => Some(CacheStatus::MissFetching),
         _ => None,
     };
-    let load = text(&LOAD).map_or_else(LoadReport::default, |text| read_load(text, '='));
+    let load = text(&LOAD).map_or_else(LoadReport::default, |text| parse_load_report(text, '='));
     match Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await {
         Ok(body) => {
             let body = (status == Status::Ok).then(|| body.to_bytes());
