--- a/examples/standin.rs
+++ b/examples/standin.rs
@@ -1,7 +1,7 @@
-//! A node to try: two tiny cache servers and a discovery in this process, and one real node in front of them.
+//! A node to try out, with two small cache servers and a discovery service in this process.
 //!
-//! `cargo build && cargo run --example standin [ADDRESS [LEVEL]]`, then send it the request that it prints. Ctrl-C ends
-//! it. LEVEL is that of the node's log: at `debug` it shows each answer of discovery.
+//! `cargo build && cargo run --example standin [ADDRESS [LEVEL]]`, then send it the request that it prints.
+//! Ctrl-C ends it. LEVEL is the level of the node's log: at `debug` it shows each answer of discovery.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -26,8 +26,8 @@
 
 type Reply = Response<Full<Bytes>>;
 
-/// No watch waits longer: the protocol's bound.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// Maximum wait of a watch, as the protocol defines it.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn Error>> {
@@ -39,17 +39,17 @@
 async fn run(listen: &str, level: &str) -> Result<(), Box<dyn Error>> {
     let mut hosts = Vec::new();
     for name in ["s-1", "s-2"] {
-        let kept = Rc::new(RefCell::new(HashSet::new()));
-        let address = serve(move |request| std::future::ready(cache_server(name, &kept, &request))).await?;
+        let stored = Rc::new(RefCell::new(HashSet::new()));
+        let address = serve(move |request| std::future::ready(cache_server(name, &stored, &request))).await?;
         hosts.push(json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m2", "block": 0,
                           "health": "ready", "share": 1.0, "born_ms": 0}));
     }
     let list = json!({"seq": 1, "whole": true, "hosts": hosts});
     let discovery = serve(move |request| discovery(list.clone(), request)).await?;
 
-    let folder = std::env::temp_dir().join(format!("walkpick-standin-{}", std::process::id()));
-    std::fs::create_dir_all(&folder)?;
-    let file = folder.join("config.json");
+    let directory = std::env::temp_dir().join(format!("walkpick-standin-{}", std::process::id()));
+    std::fs::create_dir_all(&directory)?;
+    let file = directory.join("config.json");
     std::fs::write(&file, config(listen, level, discovery).to_string())?;
     let node = std::env::current_exe()?.with_file_name("../walkpick");
     if !node.exists() {
@@ -64,16 +64,16 @@
     println!("(a new Req-Id for each request; Ctrl-C ends the node)");
     let mut terminate = signal(SignalKind::terminate())?;
     tokio::select! {
-        ended = node.wait() => println!("the node has ended: {}", ended?),
+        ended = node.wait() => println!("the node has exited: {}", ended?),
         _ = tokio::signal::ctrl_c() => {}
         _ = terminate.recv() => {}
     }
     drop(node);
-    std::fs::remove_dir_all(folder)?;
+    std::fs::remove_dir_all(directory)?;
     Ok(())
 }
 
-/// Serves on a free port of the loopback.
+/// Serves on a free port of the loopback interface.
 async fn serve<F: Future<Output = Reply> + 'static>(
     answer: impl Fn(Request<Incoming>) -> F + 'static,
 ) -> std::io::Result<SocketAddr> {
@@ -87,7 +87,7 @@
                     let reply = answer(request);
                     async { Ok::<_, Infallible>(reply.await) }
                 });
-                // A connection that breaks is its client's affair.
+                // A broken connection is the client's concern.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
@@ -95,33 +95,33 @@
     Ok(address)
 }
 
-/// Keeps every key that it was asked for.
-fn cache_server(name: &str, kept: &RefCell<HashSet<String>>, request: &Request<Incoming>) -> Reply {
+/// Stores every key that has been requested.
+fn cache_server(name: &str, stored: &RefCell<HashSet<String>>, request: &Request<Incoming>) -> Reply {
     let key = request.uri().path().to_owned();
     let body = Full::from(format!("the value of {key}, from {name}\n"));
-    let known = !kept.borrow_mut().insert(key);
+    let hit = !stored.borrow_mut().insert(key);
     let mut reply = Response::new(body);
-    let note = if known { "hit" } else { "miss" };
-    reply.headers_mut().insert("srv-cache", note.parse().expect("a plain word"));
+    let cache_status = if hit { "hit" } else { "miss" };
+    reply.headers_mut().insert("srv-cache", cache_status.parse().expect("a valid header value"));
     reply
 }
 
-/// Has one list, and nothing new to tell: a watch is answered when the wait that it asked for is over.
+/// Serves a list that never changes: a watch is answered when its wait is over.
 async fn discovery(list: Value, request: Request<Incoming>) -> Reply {
     let Some(wait) = watch_wait(request.uri().query().unwrap_or_default()) else {
         return Response::new(Full::from(list.to_string()));
     };
     tokio::time::sleep(wait).await;
-    let nothing = json!({"seq": 1, "whole": false, "hosts": []});
-    Response::new(Full::from(nothing.to_string()))
+    let no_changes = json!({"seq": 1, "whole": false, "hosts": []});
+    Response::new(Full::from(no_changes.to_string()))
 }
 
-/// How long a watch asks discovery to wait; `None` where the call is no watch.
+/// How long a watch asks discovery to wait; `None` if the call is not a watch.
 fn watch_wait(query: &str) -> Option<Duration> {
     let value = |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
     value("after")?;
     let wait = value("wait_ms").and_then(|wait| wait.parse().ok()).unwrap_or(0);
-    Some(Duration::from_millis(wait).min(LONGEST_WAIT))
+    Some(Duration::from_millis(wait).min(MAX_WAIT))
 }
 
 fn config(listen: &str, level: &str, discovery: SocketAddr) -> Value {
--- a/src/check.rs
+++ b/src/check.rs
@@ -1,4 +1,4 @@
-//! `walkpick check-config`: what a node would do with a configuration, or all that is wrong with it.
+//! `walkpick check-config`: reports what a node would do with a configuration, or all faults of it.
 
 use crate::net::config::fault::{ConfigError, Fault};
 use crate::net::config::section::{LogConfig, PeersSection, OPTIONS};
@@ -14,40 +14,40 @@
 use tokio::time::Instant;
 use walkpick::{Class, Effect};
 
-/// Times past this are taken for a slip of the unit.
-const ABSURD: Duration = Duration::from_secs(24 * 3600);
+/// Longer times are reported as a probable mistake of the unit.
+const MAX_PLAUSIBLE_TIME: Duration = Duration::from_secs(24 * 3600);
 
 #[derive(Debug, Args)]
 pub struct CheckConfig {
-    /// The configuration, as LB_CONFIG would name it
+    /// Path of the configuration file, as given by LB_CONFIG
     #[arg(required_unless_present = "options")]
     file: Option<PathBuf>,
-    /// List every value of the section `walkpick`, with what may stand there and its default
+    /// List all options of the section `walkpick` with their possible values and defaults
     #[arg(long, conflicts_with = "file")]
     options: bool,
-    /// Write JSON
+    /// Print JSON
     #[arg(long)]
     json: bool,
 }
 
-/// What a node would do.
+/// What a node would do with a configuration.
 #[derive(Debug, Serialize)]
 struct Plan {
     name: String,
     listen: String,
     discovery: String,
-    /// Connections that it keeps to clients, and as many to cache servers.
+    /// Maximum number of client connections, and of connections to cache servers.
     connections: usize,
     known_servers: usize,
     nodes: u32,
     zone: Option<String>,
     classes: Vec<ClassPlan>,
-    /// After SIGTERM.
-    stop: StopPlan,
+    /// Times after SIGTERM.
+    stop: ShutdownTimes,
     log: LogConfig,
-    /// Where it meets its peers.
+    /// Settings of the membership, if it is on.
     peers: Option<PeersSection>,
-    /// What can be done, and was probably not meant.
+    /// Valid settings that are probably mistakes.
     remarks: Vec<String>,
 }
 
@@ -60,20 +60,20 @@
 }
 
 #[derive(Debug, Serialize)]
-struct StopPlan {
+struct ShutdownTimes {
     closes: String,
     all_answered: String,
     gone: String,
 }
 
 impl CheckConfig {
-    /// Writes what it finds. `false` where the configuration is at fault.
+    /// Prints the result. Returns `false` if the configuration has faults.
     pub fn run(self) -> io::Result<bool> {
         let mut out = io::stdout().lock();
         let Some(file) = self.file else {
             return options(self.json, &mut out).map(|()| true);
         };
-        // The environment here is not the node's.
+        // The environment of this command is not that of the node.
         match config::load(&file, |_| None) {
             Ok(config) => {
                 let plan = Plan::of(&config);
@@ -97,11 +97,11 @@
 }
 
 fn faults(error: &ConfigError) -> Vec<serde_json::Value> {
-    let shown =
+    let as_json =
         |fault: &Fault| json!({"place": fault.place, "found": fault.found, "expected": fault.expected});
     match error {
-        ConfigError::Invalid { faults, .. } => faults.iter().map(shown).collect(),
-        other => vec![shown(&Fault::new("the file", other.to_string(), "a file that can be read"))],
+        ConfigError::Invalid { faults, .. } => faults.iter().map(as_json).collect(),
+        other => vec![as_json(&Fault::new("the file", other.to_string(), "a readable file"))],
     }
 }
 
@@ -126,9 +126,10 @@
             aim: format_duration(class.latency_target).to_string(),
             deadline: format_duration(class.deadline).to_string(),
         };
-        let told = Instant::now();
-        let stop = ShutdownPlan::new(told, told, Duration::ZERO, config.longest_deadline());
-        let after = |at: Instant| format_duration(at - told).to_string();
+        let signalled_at = Instant::now();
+        let shutdown =
+            ShutdownPlan::new(signalled_at, signalled_at, Duration::ZERO, config.longest_deadline());
+        let after = |at: Instant| format_duration(at - signalled_at).to_string();
         Self {
             name: config.name.clone(),
             listen: config.listen.to_string(),
@@ -138,10 +139,10 @@
             nodes: settings.nodes,
             zone: settings.zone.as_ref().map(ToString::to_string),
             classes: settings.classes.iter().map(class).collect(),
-            stop: StopPlan {
-                closes: after(stop.close_at),
-                all_answered: after(stop.answer_by),
-                gone: after(stop.exit_by),
+            stop: ShutdownTimes {
+                closes: after(shutdown.close_at),
+                all_answered: after(shutdown.answer_by),
+                gone: after(shutdown.exit_by),
             },
             log: config.section.log.clone(),
             peers: Some(config.section.peers.clone()).filter(|peers| peers.listen.is_some()),
@@ -151,14 +152,14 @@
 
     fn text(&self, file: &str) -> String {
         let zone = self.zone.as_deref().unwrap_or("no zone");
-        let StopPlan { closes, all_answered, gone } = &self.stop;
+        let ShutdownTimes { closes, all_answered, gone } = &self.stop;
         let log = serde_json::to_string(&self.log).unwrap_or_default();
         let mut text = format!(
-            "{file}: a node can run on this\n\
+            "{file}: valid configuration\n\
              name       {}, one of {} in {zone}\n\
-             listens    {}, up to {} connections of clients and as many to cache servers\n\
-             discovery  {}, {} cache servers known at the start\n\
-             stop       closes {closes} after SIGTERM, all answered after {all_answered}, gone after {gone}\n\
+             listens    {}, at most {} connections to clients and as many to cache servers\n\
+             discovery  {}, {} cache servers known at start-up\n\
+             stop       after SIGTERM: closes at {closes}, last answers by {all_answered}, exits by {gone}\n\
              log        {log}\n",
             self.name, self.nodes, self.listen, self.connections, self.discovery, self.known_servers,
         );
@@ -166,10 +167,10 @@
             Some(peers) => {
                 text += &format!("peers      {}\n", serde_json::to_string(peers).unwrap_or_default())
             }
-            None => text += "peers      none: it works with the configured number of nodes\n",
+            None => text += "peers      off: uses the configured number of nodes\n",
         }
         for ClassPlan { name, effect, aim, deadline } in &self.classes {
-            text += &format!("class      {name}: {effect}, wanted within {aim}, deadline {deadline}\n");
+            text += &format!("class      {name}: {effect}, latency target {aim}, deadline {deadline}\n");
         }
         for remark in &self.remarks {
             text += &format!("remark     {remark}\n");
@@ -182,7 +183,7 @@
     match effect {
         Effect::Safe => "safe to repeat".to_owned(),
         Effect::Unsafe => "never runs twice".to_owned(),
-        Effect::Keyed { window, .. } => format!("repeats are dropped for {}", format_duration(window)),
+        Effect::Keyed { window, .. } => format!("repeats are discarded for {}", format_duration(window)),
     }
 }
 
@@ -190,11 +191,11 @@
     let mut remarks = Vec::new();
     let settings = &config.settings;
     if settings.classes.is_empty() {
-        remarks.push("settings.lanes names no class: every request is answered with 400".to_owned());
+        remarks.push("settings.lanes is empty: every request is answered with 400".to_owned());
     }
     for (i, class) in settings.classes.iter().enumerate() {
         if class.latency_target > class.deadline {
-            remarks.push(format!("settings.lanes.{i}: answers are wanted after the deadline only"));
+            remarks.push(format!("settings.lanes.{i}: the latency target is longer than the deadline"));
         }
     }
     let lanes = settings.classes.iter().enumerate();
@@ -204,7 +205,7 @@
         ("settings.limits.keepalive_us".to_owned(), settings.keepalive),
         ("settings.safety.warm_within_us".to_owned(), settings.warm_within),
     ];
-    for (place, time) in lanes.chain(limits).filter(|(_, time)| *time > ABSURD) {
+    for (place, time) in lanes.chain(limits).filter(|(_, time)| *time > MAX_PLAUSIBLE_TIME) {
         remarks.push(format!("{place} is over a day ({} s): is it in microseconds?", time.as_secs()));
     }
     remarks
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,11 +1,11 @@
-//! The command line. A further command is a variant of [`Command`], a file of its own beside this one, and an arm
-//! in `main`.
+//! The command line. To add a command, add a variant to [`Command`], a module beside this one and an arm in
+//! `main`.
 
 use crate::check::CheckConfig;
 use crate::members::Members;
 use clap::{Parser, Subcommand};
 
-/// Sends requests to cache servers, past those that fail.
+/// Forwards requests to cache servers and routes around failing ones.
 #[derive(Debug, Parser)]
 #[command(name = "walkpick", version)]
 pub struct Cli {
@@ -15,10 +15,10 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Run a node, as the configuration says that LB_CONFIG names; so does walkpick with no command
+    /// Run a node with the configuration file named by LB_CONFIG; the default command
     Node,
-    /// Tell what a node would do with a configuration, or everything that is wrong with it
+    /// Check a configuration file and print what a node would do with it, or all of its faults
     CheckConfig(CheckConfig),
-    /// Look on at the nodes that have met, and tell who is present and whose views differ
+    /// Observe a cluster and print its members and whether their views agree
     Members(Members),
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,5 +1,5 @@
-//! The node's log: levels and targets by subsystem, as text or JSON lines, on standard error. Lines from one place
-//! of the program are held to so many within a window: a storm of faults must not become one of lines.
+//! The node's log on standard error, as text or JSON lines, with levels and targets by subsystem. The number
+//! of lines per call site is limited within a time window, so that a storm of faults does not flood the log.
 
 use crate::net::config::section::{LogConfig, LogFormat, LogLevel};
 use std::collections::HashMap;
@@ -15,18 +15,18 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{fmt, registry};
 
-/// Starts the log of this process, once. What it leaves out is told by [`Limit::tell`].
-pub fn start(log: &LogConfig) -> Limit {
-    let limit = Limit::new(log.like_lines, log.window);
-    let common = registry().with(targets(log)).with(limit.clone());
+/// Starts the log of this process, once. Dropped lines are reported by [`LineLimiter::report`].
+pub fn start(log: &LogConfig) -> LineLimiter {
+    let limiter = LineLimiter::new(log.like_lines, log.window);
+    let common = registry().with(targets(log)).with(limiter.clone());
     let lines = fmt::layer().with_ansi(false).with_writer(io::stderr);
     let started = match log.format {
         LogFormat::Text => common.with(lines).try_init(),
         LogFormat::Json => common.with(lines.json().flatten_event(true)).try_init(),
     };
-    // A log that was started before stays as it is.
+    // If a log has been started before, it stays in place.
     drop(started);
-    limit
+    limiter
 }
 
 fn targets(log: &LogConfig) -> Targets {
@@ -45,71 +45,73 @@
     }
 }
 
-/// Counts lines by the place that they come from.
+/// Counts and limits log lines by call site.
 #[derive(Clone)]
-pub struct Limit {
-    most: u32,
+pub struct LineLimiter {
+    max_lines: u32,
     window: Duration,
-    places: Arc<Mutex<HashMap<Identifier, Place>>>,
-    /// Told when a line is left out.
-    left_out: Arc<Notify>,
+    call_sites: Arc<Mutex<HashMap<Identifier, CallSite>>>,
+    /// Notified when a line is dropped.
+    line_dropped: Arc<Notify>,
 }
 
-struct Place {
+struct CallSite {
     metadata: &'static Metadata<'static>,
-    began: Instant,
+    window_start: Instant,
     written: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
-impl Limit {
-    fn new(most: u32, window: Duration) -> Self {
-        Self { most, window, places: Arc::default(), left_out: Arc::default() }
+impl LineLimiter {
+    fn new(max_lines: u32, window: Duration) -> Self {
+        Self { max_lines, window, call_sites: Arc::default(), line_dropped: Arc::default() }
     }
 
-    /// Whether a line from this place is to be written.
+    /// Whether a line from this call site is to be written.
     fn admits(&self, metadata: &'static Metadata<'static>, now: Instant) -> bool {
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        let fresh = || Place { metadata, began: now, written: 0, left_out: 0 };
-        let place = places.entry(metadata.callsite()).or_insert_with(fresh);
-        if now.saturating_duration_since(place.began) >= self.window {
-            (place.began, place.written) = (now, 0);
+        let mut call_sites = self.call_sites.lock().unwrap_or_else(PoisonError::into_inner);
+        let new_entry = || CallSite { metadata, window_start: now, written: 0, dropped: 0 };
+        let call_site = call_sites.entry(metadata.callsite()).or_insert_with(new_entry);
+        if now.saturating_duration_since(call_site.window_start) >= self.window {
+            (call_site.window_start, call_site.written) = (now, 0);
         }
-        let admitted = place.written < self.most;
-        place.written += u32::from(admitted);
+        let admitted = call_site.written < self.max_lines;
+        call_site.written += u32::from(admitted);
         if !admitted {
-            place.left_out += 1;
-            self.left_out.notify_one();
+            call_site.dropped += 1;
+            self.line_dropped.notify_one();
         }
         admitted
     }
 
-    /// The places whose lines were left out since this was asked last, and how many were.
-    fn take_left_out(&self) -> Vec<(&'static Metadata<'static>, u64)> {
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        let counts = places.values_mut().map(|place| (place.metadata, std::mem::take(&mut place.left_out)));
+    /// The call sites with dropped lines since the last call, and their numbers.
+    fn take_dropped(&self) -> Vec<(&'static Metadata<'static>, u64)> {
+        let mut call_sites = self.call_sites.lock().unwrap_or_else(PoisonError::into_inner);
+        let counts = call_sites
+            .values_mut()
+            .map(|call_site| (call_site.metadata, std::mem::take(&mut call_site.dropped)));
         counts.filter(|(_, count)| *count > 0).collect()
     }
 
-    /// Says how many lines were left out, and which.
-    pub fn tell(&self) {
-        for (place, count) in self.take_left_out() {
-            let (file, line) = (place.file().unwrap_or("?"), place.line().unwrap_or(0));
-            warn!(target: "log", count, of = place.target(), "lines left out: more like those of {file}:{line}");
+    /// Logs how many lines of which call sites were dropped.
+    pub fn report(&self) {
+        for (call_site, count) in self.take_dropped() {
+            let (file, line) = (call_site.file().unwrap_or("?"), call_site.line().unwrap_or(0));
+            warn!(target: "log", count, of = call_site.target(), "lines left out: more like those of {file}:{line}");
         }
     }
 
-    /// Says so at the end of each window in which lines were left out, for as long as the node runs.
-    pub async fn watch(self) {
+    /// Reports at the end of each window in which lines were dropped, for as long as the node runs.
+    pub async fn run(self) {
         loop {
-            self.left_out.notified().await;
+            self.line_dropped.notified().await;
             tokio::time::sleep(self.window).await;
-            self.tell();
+            self.report();
         }
     }
 }
 
-impl<S: Subscriber> Layer<S> for Limit {
+impl<S: Subscriber> Layer<S> for LineLimiter {
     fn event_enabled(&self, event: &Event<'_>, _: Context<'_, S>) -> bool {
         self.admits(event.metadata(), Instant::now())
     }
--- a/src/members.rs
+++ b/src/members.rs
@@ -1,6 +1,6 @@
-//! `walkpick members`: looks on at a cluster, counted by nobody, and prints what it sees.
+//! `walkpick members`: observes a cluster without being counted as a node, and prints its view.
 
-use crate::net::peers::Peering;
+use crate::net::peers::PeerSocket;
 use clap::Args;
 use serde_json::json;
 use std::error::Error;
@@ -13,31 +13,31 @@
 
 #[derive(Debug, Args)]
 pub struct Members {
-    /// Where a node of the cluster is reached; may be given more than once
+    /// Address of a node of the cluster; may be given more than once
     #[arg(long, required = true)]
     seed: Vec<SocketAddr>,
-    /// The cluster's name
+    /// Name of the cluster
     #[arg(long, default_value = "walkpick")]
     cluster: String,
-    /// Where to listen for answers; nodes must reach it
+    /// Address to listen on for answers; the nodes must be able to reach it
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// How long to look on at the most
+    /// Maximum time to observe the cluster
     #[arg(long, default_value = "5s", value_parser = humantime::parse_duration)]
     within: Duration,
-    /// Write JSON
+    /// Print JSON
     #[arg(long)]
     json: bool,
 }
 
-/// Views that agree are looked at for so long, so that what comes by and by is there.
-const SETTLES: Duration = Duration::from_millis(1_500);
+/// How long views must agree before the result is printed, so that late changes are included.
+const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
 impl Members {
-    /// Writes what it sees. `false` where nobody answered, or views differ.
+    /// Prints the view. Returns `false` if no node answered or the views differ.
     pub fn run(self) -> Result<bool, Box<dyn Error>> {
         let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
-        let view = runtime.block_on(self.look())?;
+        let view = runtime.block_on(self.observe())?;
         let mut out = io::stdout().lock();
         match self.json {
             true => writeln!(out, "{:#}", json!(view))?,
@@ -46,24 +46,25 @@
         Ok(view.nodes > 0 && view.agreement == Agreement::Agreed)
     }
 
-    async fn look(&self) -> io::Result<View> {
+    async fn observe(&self) -> io::Result<View> {
         let config =
             PeersConfig { cluster: self.cluster.clone(), seeds: self.seed.clone(), ..PeersConfig::default() };
         let name = format!("observer-{}", std::process::id());
-        let (nowhere, seed) = (Location::default(), fastrand::u64(..));
-        let mut peering = Peering::open(self.listen, None, config, &name, &nowhere, true, seed).await?;
-        let (end, mut told) = (Instant::now() + self.within, Vec::new());
+        let (location, seed) = (Location::default(), fastrand::u64(..));
+        let mut peer_socket =
+            PeerSocket::open(self.listen, None, config, &name, &location, true, seed).await?;
+        let (end, mut outputs) = (Instant::now() + self.within, Vec::new());
         loop {
-            let over = tokio::select! {
-                () = peering.step(&mut told) => false,
+            let timed_out = tokio::select! {
+                () = peer_socket.step(&mut outputs) => false,
                 () = sleep_until(end) => true,
             };
-            let view = peering.peers().view(peering.now());
+            let view = peer_socket.peers().view(peer_socket.now());
             let settled = view.agreement == Agreement::Agreed
                 && view.nodes > 0
-                && u128::from(view.since) >= SETTLES.as_micros();
-            if over || settled {
-                peering.leave(&mut told);
+                && u128::from(view.since) >= SETTLE_TIME.as_micros();
+            if timed_out || settled {
+                peer_socket.leave(&mut outputs);
                 return Ok(view);
             }
         }
@@ -73,7 +74,7 @@
 fn text(view: &View) -> String {
     let seconds =
         |micros: u64| humantime::format_duration(Duration::from_secs(micros / 1_000_000)).to_string();
-    let mut lines = vec![format!("{:16} {:22} {:10} {}", "node", "address", "", "seen so for")];
+    let mut lines = vec![format!("{:16} {:22} {:10} {}", "node", "address", "", "for")];
     for seen in view.peers.iter().filter(|seen| !seen.peer.observer) {
         let standing = match seen.standing {
             Standing::Present => "present",
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -1,5 +1,5 @@
-//! Drives the module: the only owner of the `Balancer` and of what is open. Events come in by channel and the
-//! module's actions are carried out in order; nothing is picked, repeated or refused here.
+//! Drives the decision module: the only owner of the `Balancer` and of the requests in flight. Events arrive
+//! on a channel, and the module's actions are performed in order; nothing is chosen, retried or refused here.
 
 use crate::net::discovery::listing::Listing;
 use crate::net::server::{Answer, ClientEvent, ClientRequest};
@@ -21,30 +21,32 @@
     ServerEntry, ServerId, ServerList, Status, Timestamp,
 };
 
-/// ClientRequest off a client's time: it counts from when the client sent, and the answer has its way back to go.
-const MARGIN: Duration = Duration::from_millis(5);
-/// How long past a request's time, less the margin, the module has for its own answer.
-const GUARD: Duration = Duration::from_millis(4);
+/// Subtracted from a client's timeout, which runs from when the client sent the request, and to let the
+/// answer travel back.
+const CLIENT_MARGIN: Duration = Duration::from_millis(5);
+/// How long after a request's deadline (its timeout less the margin) the module may still give its own
+/// answer.
+const ANSWER_DEADLINE_MARGIN: Duration = Duration::from_millis(4);
 
-/// What the node's other parts tell the driver.
+/// Input from the other parts of the node.
 #[derive(Debug)]
 pub enum Input {
     Client(ClientEvent),
     Servers(Listing),
-    /// So many nodes there are, as far as this one may rely on it.
+    /// The number of nodes, as far as this node may rely on it.
     Nodes(u32),
-    Ended {
+    AttemptEnded {
         id: RequestId,
         attempt: u32,
-        ended: AttemptResult,
+        result: AttemptResult,
     },
-    /// The node stops: every answer is due by then.
-    Stopping {
+    /// The node is shutting down: every answer is due by this time.
+    ShuttingDown {
         answer_by: Instant,
     },
 }
 
-/// The one clock: it runs evenly, from the system's time at the start, which discovery's times are told in.
+/// The node's only clock. It starts at the system time, in which discovery gives its times, and is monotonic.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -52,7 +54,7 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at the current time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { origin: Instant::now(), unix }
@@ -64,65 +66,65 @@
     }
 }
 
-struct InFlight {
+struct InFlightRequest {
     span: Span,
-    message: Rc<UpstreamRequest>,
-    kind: Name,
-    at: Instant,
-    aim: Duration,
-    /// `None` once the final answer is given.
+    upstream_request: Rc<UpstreamRequest>,
+    class_name: Name,
+    received_at: Instant,
+    latency_target: Duration,
+    /// `None` once the final answer has been given.
     answer: Option<oneshot::Sender<Answer>>,
-    /// Set with the final answer, or by whoever sees its client leave: no attempt begins after that.
-    over: Rc<Cell<bool>>,
-    until: Instant,
-    attempts: Vec<Sent>,
+    /// Set with the final answer, or when the client disconnects: no attempt starts after that.
+    finished: Rc<Cell<bool>>,
+    deadline: Instant,
+    attempts: Vec<Attempt>,
 }
 
-struct Sent {
+struct Attempt {
     server: ServerId,
-    at: Instant,
-    /// How it ended, and how long after it was sent.
+    sent_at: Instant,
+    /// Its result, and how long after sending it came.
     end: Option<(Status, Option<CacheStatus>, Duration)>,
-    /// Its first byte was handed on.
-    begun: Rc<Cell<bool>>,
-    /// `None` once its end is known.
+    /// Set when its first byte has been sent.
+    started: Rc<Cell<bool>>,
+    /// `None` once its result is known.
     task: Option<AbortHandle>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Wake,
-    Guard(RequestId),
+    AnswerDeadline(RequestId),
 }
 
-/// See the module's page.
+/// See the module documentation.
 pub struct Driver {
     balancer: Balancer,
     clock: Clock,
     upstream: Rc<Upstream>,
     ready: Rc<Cell<bool>>,
     events: UnboundedSender<Input>,
-    in_flight: HashMap<RequestId, InFlight>,
-    /// When the node stops: by when the last answer is due.
+    in_flight: HashMap<RequestId, InFlightRequest>,
+    /// During a shutdown: by when the last answer is due.
     answer_by: Option<Instant>,
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
-    due: VecDeque<Event>,
-    list: ListInForce,
+    pending_events: VecDeque<Event>,
+    list: CurrentList,
 }
 
-/// Which list the node works from: what a line of the log needs to be held against discovery's record.
+/// The server list in use, logged so that lines can be compared with discovery's record.
 #[derive(Clone, Copy, Debug)]
-struct ListInForce {
+struct CurrentList {
     seq: u64,
-    /// When it was taken in.
+    /// When it was applied.
     since: Instant,
 }
 
-/// Servers named in one line of the log, at the most.
-const NAMED_MOST: usize = 20;
+/// Maximum number of servers named in one log line.
+const MAX_NAMED_SERVERS: usize = 20;
 
 impl Driver {
-    /// `events` is where attempts report to: the sending end of what `run` reads.
+    /// `events` receives the results of attempts: the sending end of what `run` reads.
     pub fn new(
         balancer: Balancer,
         upstream: Rc<Upstream>,
@@ -138,8 +140,8 @@
             in_flight: HashMap::new(),
             answer_by: None,
             timers: BinaryHeap::new(),
-            due: VecDeque::new(),
-            list: ListInForce { seq: 0, since: Instant::now() },
+            pending_events: VecDeque::new(),
+            list: CurrentList { seq: 0, since: Instant::now() },
         }
     }
 
@@ -150,12 +152,13 @@
     }
 
     fn restore(&mut self, known: Listing) {
-        let entries = self.learn(&Listing { whole: true, ..known });
-        self.due.push_back(Event::Restored(entries));
-        self.handle_due();
+        let entries = self.apply_list(&Listing { whole: true, ..known });
+        self.pending_events.push_back(Event::Restored(entries));
+        self.process_events();
     }
 
-    /// Takes in one thing that happens, and does all that follows from it. `false` where nothing more can come.
+    /// Handles one input or timer with everything that follows from it. Returns `false` when no more input
+    /// can come.
     async fn step(&mut self, inputs: &mut UnboundedReceiver<Input>) -> bool {
         let next = self.timers.peek().map(|Reverse((at, _))| *at);
         let timer = async {
@@ -166,43 +169,44 @@
         };
         tokio::select! {
             input = inputs.recv() => match input {
-                Some(input) => self.take(input),
+                Some(input) => self.handle_input(input),
                 None => return false,
             },
-            () = timer => self.ring(),
+            () = timer => self.fire_timers(),
         }
-        self.handle_due();
+        self.process_events();
         true
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Client(ClientEvent::Request(taken)) => self.request(*taken),
+            Input::Client(ClientEvent::Request(client_request)) => self.accept_request(*client_request),
             Input::Client(ClientEvent::Disconnected(ticket)) => {
                 let id = request_id(ticket);
-                if let Some(open) = self.in_flight.get_mut(&id).filter(|open| open.answer.is_some()) {
-                    open.answer = None;
-                    open.over.set(true);
-                    open.tell("left", None);
-                    self.due.push_back(Event::Abandoned(id.clone()));
-                    self.cancel_unsent(&id);
+                if let Some(request) = self.in_flight.get_mut(&id).filter(|request| request.answer.is_some())
+                {
+                    request.answer = None;
+                    request.finished.set(true);
+                    request.log_end("left", None);
+                    self.pending_events.push_back(Event::Abandoned(id.clone()));
+                    self.cancel_unstarted(&id);
                 }
             }
-            Input::Ended { id, attempt, ended } => self.ended(id, attempt, ended),
+            Input::AttemptEnded { id, attempt, result } => self.attempt_ended(id, attempt, result),
             Input::Servers(listing) => {
-                let entries = self.learn(&listing);
+                let entries = self.apply_list(&listing);
                 let list =
                     if listing.whole { ServerList::Full(entries) } else { ServerList::Changes(entries) };
-                self.due.push_back(Event::Servers(list));
+                self.pending_events.push_back(Event::Servers(list));
             }
-            Input::Nodes(nodes) => self.due.push_back(Event::NodeCount(nodes)),
-            Input::Stopping { answer_by } => self.stop(answer_by),
+            Input::Nodes(nodes) => self.pending_events.push_back(Event::NodeCount(nodes)),
+            Input::ShuttingDown { answer_by } => self.shut_down(answer_by),
         }
     }
 
-    /// Hands a list to the connections and gives its entries back as the module's. It goes to both in one
-    /// step, so that no attempt of the module's can overtake it.
-    fn learn(&mut self, listing: &Listing) -> Arc<[ServerEntry]> {
+    /// Applies a list to the connection pools and returns its entries as the module's type. Both see the list
+    /// in the same step, so that no attempt of the module can precede it.
+    fn apply_list(&mut self, listing: &Listing) -> Arc<[ServerEntry]> {
         let entries: Arc<[ServerEntry]> = listing.hosts.iter().map(|host| host.entry()).collect();
         if listing.whole {
             let listed: HashSet<&ServerId> = entries.iter().map(|entry| &entry.id).collect();
@@ -214,13 +218,15 @@
                 _ => self.upstream.apply(entry, host.dial()),
             }
         }
-        self.list = ListInForce { seq: listing.seq, since: Instant::now() };
+        self.list = CurrentList { seq: listing.seq, since: Instant::now() };
         let ready = entries.iter().filter(|entry| entry.availability == Availability::Ready).count();
         let (seq, whole) = (listing.seq, listing.whole);
-        // Lists that only renew weights come several times a second.
+        // Lists that only update weights arrive several times a second.
         if whole || ready < entries.len() {
-            let (draining, gone) =
-                (named(&entries, Availability::Draining), named(&entries, Availability::Removed));
+            let (draining, gone) = (
+                server_names(&entries, Availability::Draining),
+                server_names(&entries, Availability::Removed),
+            );
             info!(target: "discovery", seq, whole, ready, draining, gone, "list taken in");
         } else {
             debug!(target: "discovery", seq, whole, ready, "list taken in");
@@ -231,146 +237,157 @@
         entries
     }
 
-    fn request(&mut self, taken: ClientRequest) {
-        let id = request_id(taken.number);
-        // A node that is behind is behind with its answers, too: they are due that much sooner.
-        let until =
-            bound(taken.received_at + taken.timeout.saturating_sub(MARGIN + taken.lag), self.answer_by);
-        let client_id = taken.upstream_request.id.to_str().unwrap_or("?");
-        let open = InFlight {
-            span: debug_span!(target: "request", "request", id = client_id, ticket = taken.number),
-            message: Rc::new(taken.upstream_request),
-            kind: taken.class_name,
-            at: taken.received_at,
-            aim: taken.latency_target,
-            answer: Some(taken.answer),
-            over: taken.finished,
-            until,
+    fn accept_request(&mut self, client_request: ClientRequest) {
+        let id = request_id(client_request.number);
+        // A lagging node is late with its answers, too, so they are due earlier by its lag.
+        let deadline = limit_to_shutdown(
+            client_request.received_at
+                + client_request.timeout.saturating_sub(CLIENT_MARGIN + client_request.lag),
+            self.answer_by,
+        );
+        let client_id = client_request.upstream_request.id.to_str().unwrap_or("?");
+        let request = InFlightRequest {
+            span: debug_span!(target: "request", "request", id = client_id, ticket = client_request.number),
+            upstream_request: Rc::new(client_request.upstream_request),
+            class_name: client_request.class_name,
+            received_at: client_request.received_at,
+            latency_target: client_request.latency_target,
+            answer: Some(client_request.answer),
+            finished: client_request.finished,
+            deadline,
             attempts: Vec::new(),
         };
-        self.in_flight.insert(id.clone(), open);
-        self.timers.push(Reverse((until + GUARD, Timer::Guard(id.clone()))));
-        self.due.push_back(Event::Request(Request {
+        self.in_flight.insert(id.clone(), request);
+        self.timers.push(Reverse((deadline + ANSWER_DEADLINE_MARGIN, Timer::AnswerDeadline(id.clone()))));
+        self.pending_events.push_back(Event::Request(Request {
             id,
-            class: Some(taken.class),
-            tenant: taken.tenant,
-            key: taken.key,
-            valid_until: self.clock.at(until),
-            expected_work: taken.expected_work,
-            write: taken.write,
-            client_retry: taken.client_retry,
+            class: Some(client_request.class),
+            tenant: client_request.tenant,
+            key: client_request.key,
+            valid_until: self.clock.at(deadline),
+            expected_work: client_request.expected_work,
+            write: client_request.write,
+            client_retry: client_request.client_retry,
         }));
     }
 
-    /// Whatever is out when the node is told to stop is held to its end as well.
-    fn stop(&mut self, answer_by: Instant) {
+    /// Applies the shutdown's deadline to the requests in flight.
+    fn shut_down(&mut self, answer_by: Instant) {
         self.answer_by = Some(answer_by);
-        for (id, open) in self.in_flight.iter_mut().filter(|(_, open)| open.answer.is_some()) {
-            let until = bound(open.until, self.answer_by);
-            if until < open.until {
-                open.until = until;
-                self.timers.push(Reverse((until + GUARD, Timer::Guard(id.clone()))));
+        for (id, request) in self.in_flight.iter_mut().filter(|(_, request)| request.answer.is_some()) {
+            let deadline = limit_to_shutdown(request.deadline, self.answer_by);
+            if deadline < request.deadline {
+                request.deadline = deadline;
+                self.timers
+                    .push(Reverse((deadline + ANSWER_DEADLINE_MARGIN, Timer::AnswerDeadline(id.clone()))));
             }
         }
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, ended: AttemptResult) {
-        let Some(open) = self.in_flight.get_mut(&id) else { return };
-        // One that was cancelled meanwhile has ended already.
-        let Some(sent) = open.attempts.get_mut(attempt as usize).filter(|sent| sent.task.is_some()) else {
+    fn attempt_ended(&mut self, id: RequestId, attempt: u32, result: AttemptResult) {
+        let Some(request) = self.in_flight.get_mut(&id) else { return };
+        // An attempt that has been cancelled has ended already.
+        let Some(record) = request.attempts.get_mut(attempt as usize).filter(|record| record.task.is_some())
+        else {
             return;
         };
-        sent.task = None;
-        let (server, took) = (sent.server.clone(), sent.at.elapsed());
-        sent.end = Some((ended.status, ended.note, took));
-        open.span.in_scope(|| {
-            debug!(target: "request", attempt, %server, status = ?ended.status, took_ms = took.as_millis() as u64, "ended");
+        record.task = None;
+        let (server, took) = (record.server.clone(), record.sent_at.elapsed());
+        record.end = Some((result.status, result.cache_status, took));
+        request.span.in_scope(|| {
+            debug!(target: "request", attempt, %server, status = ?result.status, took_ms = took.as_millis() as u64, "attempt ended");
         });
-        if let Some(body) = ended.body {
-            reply(open, Answer::Served(body), None);
+        if let Some(body) = result.body {
+            send_answer(request, Answer::Served(body), None);
         }
-        let finished = open.answer.is_none();
-        let AttemptResult { status, note, load, .. } = ended;
-        self.tidy(&id);
-        self.due.push_back(Event::Outcome(Outcome {
+        let finished = request.answer.is_none();
+        let AttemptResult { status, cache_status, load, .. } = result;
+        self.remove_if_done(&id);
+        self.pending_events.push_back(Event::Outcome(Outcome {
             id,
             attempt,
             server,
             status,
-            cache_status: note,
+            cache_status,
             took,
             finished,
             load,
         }));
     }
 
-    /// Takes back what is on its way for a request that is over and has not begun. What has begun goes on: it may run,
-    /// and what it comes to tells of its server.
-    fn cancel_unsent(&mut self, id: &RequestId) {
-        let Some(open) = self.in_flight.get(id) else { return };
-        let waits = |(n, sent): (usize, &Sent)| {
-            let task = sent.task.as_ref().filter(|_| !sent.begun.get())?;
+    /// Cancels the attempts of a finished request that have not started. Those that have started go on: the
+    /// request may run, and the result says something about its server.
+    fn cancel_unstarted(&mut self, id: &RequestId) {
+        let Some(request) = self.in_flight.get(id) else { return };
+        let cancel = |(n, attempt): (usize, &Attempt)| {
+            let task = attempt.task.as_ref().filter(|_| !attempt.started.get())?;
             task.abort();
             Some(n as u32)
         };
-        let unsent: Vec<_> = open.attempts.iter().enumerate().filter_map(waits).collect();
-        for attempt in unsent {
-            self.ended(id.clone(), attempt, AttemptResult::without_answer(Status::Ignored));
+        let unstarted: Vec<_> = request.attempts.iter().enumerate().filter_map(cancel).collect();
+        for attempt in unstarted {
+            self.attempt_ended(id.clone(), attempt, AttemptResult::without_answer(Status::Ignored));
         }
-        self.tidy(id);
+        self.remove_if_done(id);
     }
 
-    /// Drops a request that has its answer and no attempt out.
-    fn tidy(&mut self, id: &RequestId) {
-        let over =
-            |open: &InFlight| open.answer.is_none() && open.attempts.iter().all(|sent| sent.task.is_none());
-        if self.in_flight.get(id).is_some_and(over) {
+    /// Drops a request that has its answer and no attempt in flight.
+    fn remove_if_done(&mut self, id: &RequestId) {
+        let done = |request: &InFlightRequest| {
+            request.answer.is_none() && request.attempts.iter().all(|attempt| attempt.task.is_none())
+        };
+        if self.in_flight.get(id).is_some_and(done) {
             self.in_flight.remove(id);
         }
     }
 
-    fn ring(&mut self) {
+    fn fire_timers(&mut self) {
         let now = Instant::now();
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             match self.timers.pop() {
-                Some(Reverse((_, Timer::Wake))) => self.due.push_back(Event::Timer),
-                Some(Reverse((_, Timer::Guard(id)))) => self.guard(id),
+                Some(Reverse((_, Timer::Wake))) => self.pending_events.push_back(Event::Timer),
+                Some(Reverse((_, Timer::AnswerDeadline(id)))) => self.fail_overdue(id),
                 None => {}
             }
         }
     }
 
-    /// A request that the module has left open until its time is all but over would be lost: it fails here,
-    /// and the module learns that nothing is owed any more. What its attempts come to is still reported.
-    fn guard(&mut self, id: RequestId) {
-        let Some(open) = self.in_flight.get_mut(&id).filter(|open| open.answer.is_some()) else { return };
-        reply(open, Answer::Failed, Some(EndReason::OutOfTime));
-        self.due.push_back(Event::Abandoned(id.clone()));
-        self.cancel_unsent(&id);
+    /// Fails a request that the module has not answered shortly after its deadline, so that its client is not
+    /// left without an answer, and notifies the module that no answer is owed any more. Results of its
+    /// attempts are still reported.
+    fn fail_overdue(&mut self, id: RequestId) {
+        let Some(request) = self.in_flight.get_mut(&id).filter(|request| request.answer.is_some()) else {
+            return;
+        };
+        send_answer(request, Answer::Failed, Some(EndReason::OutOfTime));
+        self.pending_events.push_back(Event::Abandoned(id.clone()));
+        self.cancel_unstarted(&id);
     }
 
-    fn handle_due(&mut self) {
+    fn process_events(&mut self) {
         let mut actions = Vec::new();
-        while let Some(event) = self.due.pop_front() {
+        while let Some(event) = self.pending_events.pop_front() {
             self.balancer.handle(self.clock.at(Instant::now()), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.perform(action);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, timeout, start_within: begin_within } => {
-                self.send(id, server, timeout, begin_within);
+            Action::Send { id, server, timeout, start_within } => {
+                self.send(id, server, timeout, start_within);
             }
             Action::Cancel { id, attempt } => {
-                let Some(open) = self.in_flight.get_mut(&id) else { return };
-                let task = open.attempts.get_mut(attempt as usize).and_then(|sent| sent.task.as_ref());
+                let Some(request) = self.in_flight.get_mut(&id) else { return };
+                let task =
+                    request.attempts.get_mut(attempt as usize).and_then(|attempt| attempt.task.as_ref());
                 if let Some(task) = task {
-                    // Its connection closes with it: a server's answer to it would meet the next request.
+                    // This closes the connection; otherwise the server's answer would be taken for that to
+                    // the next request.
                     task.abort();
-                    self.ended(id, attempt, AttemptResult::without_answer(Status::Canceled));
+                    self.attempt_ended(id, attempt, AttemptResult::without_answer(Status::Canceled));
                 }
             }
             Action::Refuse { id, retry_after, reason } => {
@@ -380,123 +397,141 @@
             Action::Wake { after } => self.timers.push(Reverse((Instant::now() + after, Timer::Wake))),
             Action::Close { server } => self.upstream.close_idle(&server),
             Action::Log(text) => info!(target: "policy", "{text}"),
-            // The module never probes where the settings forbid it, as they do wherever this node runs.
-            Action::Probe { server } => warn!(target: "policy", %server, "no probe: this node sends none"),
-            // Nor does it ask for lists where the settings say that they come by themselves, as they do here.
+            // The module never probes where the settings forbid it, as they do for this program.
+            Action::Probe { server } => {
+                warn!(target: "policy", %server, "probe ignored: this node sends no probes")
+            }
+            // Nor does it subscribe where the settings say that lists are pushed, as they do here.
             Action::Subscribe => {
-                warn!(target: "policy", "no call: the client of discovery has its own schedule")
+                warn!(target: "policy", "subscription request ignored: the discovery client has its own schedule")
             }
         }
     }
 
-    fn send(&mut self, id: RequestId, server: ServerId, timeout: Duration, begin_within: Option<Duration>) {
-        let Some(open) = self.in_flight.get_mut(&id) else { return };
-        let (at, attempt) = (Instant::now(), open.attempts.len() as u32);
-        let until = open.until.min(at + timeout);
-        let by = begin_within.map_or(until, |within| until.min(at + within));
-        let begun = Rc::default();
-        let start =
-            StartCondition { request_finished: open.over.clone(), deadline: by, started: Rc::clone(&begun) };
+    fn send(&mut self, id: RequestId, server: ServerId, timeout: Duration, start_within: Option<Duration>) {
+        let Some(request) = self.in_flight.get_mut(&id) else { return };
+        let (sent_at, attempt) = (Instant::now(), request.attempts.len() as u32);
+        let deadline = request.deadline.min(sent_at + timeout);
+        let start_by = start_within.map_or(deadline, |within| deadline.min(sent_at + within));
+        let started = Rc::default();
+        let start = StartCondition {
+            request_finished: request.finished.clone(),
+            deadline: start_by,
+            started: Rc::clone(&started),
+        };
         let (upstream, events) = (self.upstream.clone(), self.events.clone());
-        let (message, target) = (open.message.clone(), server.clone());
+        let (upstream_request, target) = (request.upstream_request.clone(), server.clone());
         let task = tokio::task::spawn_local(async move {
-            let ended = upstream.attempt(&target, &message, until, &start).await;
-            // The driver only goes when the node does.
-            let _ = events.send(Input::Ended { id, attempt, ended });
+            let result = upstream.attempt(&target, &upstream_request, deadline, &start).await;
+            // The driver lives as long as the node.
+            let _ = events.send(Input::AttemptEnded { id, attempt, result });
+        });
+        request.log_sent(&server, self.list);
+        request.attempts.push(Attempt {
+            server,
+            sent_at,
+            started,
+            task: Some(task.abort_handle()),
+            end: None,
         });
-        open.tell_sent(&server, self.list);
-        open.attempts.push(Sent { server, at, begun, task: Some(task.abort_handle()), end: None });
     }
 
     fn finish(&mut self, id: &RequestId, answer: Answer, reason: EndReason) {
-        if let Some(open) = self.in_flight.get_mut(id) {
-            reply(open, answer, Some(reason));
-            self.cancel_unsent(id);
+        if let Some(request) = self.in_flight.get_mut(id) {
+            send_answer(request, answer, Some(reason));
+            self.cancel_unstarted(id);
         }
     }
 }
 
-impl InFlight {
-    /// One line that tells what became of the request: with the log of each node on its way, and no trace of the
-    /// sockets, it can be followed by its id.
-    fn tell(&self, end: &str, reason: Option<EndReason>) {
-        let UpstreamRequest { id, method, target, .. } = &*self.message;
-        let (id, after_ms) = (id.to_str().unwrap_or("?"), self.at.elapsed().as_millis() as u64);
-        let (class, path) = (self.kind.as_str(), target.as_str());
-        let attempts = self.attempts();
+impl InFlightRequest {
+    /// Logs how a request ended. Together with the logs of the other parties a request can be traced by its
+    /// id, without a packet capture.
+    fn log_end(&self, end: &str, reason: Option<EndReason>) {
+        let UpstreamRequest { id, method, target, .. } = &*self.upstream_request;
+        let (id, after_ms) = (id.to_str().unwrap_or("?"), self.received_at.elapsed().as_millis() as u64);
+        let (class, path) = (self.class_name.as_str(), target.as_str());
+        let attempts = self.attempts_summary();
         let reason = reason.map(tracing::field::debug);
         self.span.in_scope(|| {
             info!(target: "request", after_ms, class, %method, path, reason, attempts, "request {id} {end}");
         });
     }
 
-    /// A further attempt is told with what came of those before it, and with the list that the node works from: a
-    /// server that turns requests away may drain, and the node not know.
-    fn tell_sent(&self, server: &ServerId, list: ListInForce) {
+    /// Logs an attempt. A further attempt is logged with the results of those before it and with the list in
+    /// use: a server that declines requests may be draining without the node knowing.
+    fn log_sent(&self, server: &ServerId, list: CurrentList) {
         let attempt = self.attempts.len();
         if attempt == 0 {
-            self.span.in_scope(|| debug!(target: "request", attempt, %server, "sent"));
+            self.span.in_scope(|| debug!(target: "request", attempt, %server, "attempt sent"));
             return;
         }
-        let id = self.message.id.to_str().unwrap_or("?");
+        let id = self.upstream_request.id.to_str().unwrap_or("?");
         let (list_seq, list_age_ms) = (list.seq, list.since.elapsed().as_millis() as u64);
-        let before = self.attempts();
+        let before = self.attempts_summary();
         self.span.in_scope(|| {
-            info!(target: "request", attempt, %server, before, list_seq, list_age_ms, "request {id} is tried again");
+            info!(target: "request", attempt, %server, before, list_seq, list_age_ms, "request {id} is retried");
         });
     }
 
-    fn attempts(&self) -> String {
-        let mut told = String::new();
-        for sent in &self.attempts {
-            let (apart, server) = (if told.is_empty() { "" } else { ", " }, &sent.server);
-            // Writing to a string does not fail.
-            let _ = match sent.end {
-                Some((status, note, took)) => {
-                    let note = note.map_or_else(String::new, |note| format!(" ({note:?})"));
-                    write!(told, "{apart}{server} {status:?}{note} in {} ms", took.as_millis())
+    fn attempts_summary(&self) -> String {
+        let mut summary = String::new();
+        for attempt in &self.attempts {
+            let (separator, server) = (if summary.is_empty() { "" } else { ", " }, &attempt.server);
+            // Writing to a string cannot fail.
+            let _ = match attempt.end {
+                Some((status, cache_status, took)) => {
+                    let cache_status =
+                        cache_status.map_or_else(String::new, |cache_status| format!(" ({cache_status:?})"));
+                    write!(summary, "{separator}{server} {status:?}{cache_status} in {} ms", took.as_millis())
                 }
-                None => write!(told, "{apart}{server} out for {} ms", sent.at.elapsed().as_millis()),
+                None => write!(
+                    summary,
+                    "{separator}{server} in flight for {} ms",
+                    attempt.sent_at.elapsed().as_millis()
+                ),
             };
         }
-        told
+        summary
     }
 }
 
-/// The names of the servers in this state, as many as a line of the log may hold.
-fn named(entries: &[ServerEntry], state: Availability) -> String {
-    let of_state: Vec<_> = entries.iter().filter(|entry| entry.availability == state).collect();
-    let mut names: Vec<_> = of_state.iter().take(NAMED_MOST).map(|entry| entry.id.as_str()).collect();
-    let more = format!("and {} more", of_state.len().saturating_sub(NAMED_MOST));
-    if of_state.len() > NAMED_MOST {
+/// The names of the servers with this availability, up to the limit of a log line.
+fn server_names(entries: &[ServerEntry], availability: Availability) -> String {
+    let matching: Vec<_> = entries.iter().filter(|entry| entry.availability == availability).collect();
+    let mut names: Vec<_> = matching.iter().take(MAX_NAMED_SERVERS).map(|entry| entry.id.as_str()).collect();
+    let more = format!("and {} more", matching.len().saturating_sub(MAX_NAMED_SERVERS));
+    if matching.len() > MAX_NAMED_SERVERS {
         names.push(&more);
     }
     names.join(" ")
 }
 
-/// `reason`: why it ends with no answer of a server.
-fn reply(open: &mut InFlight, answer: Answer, reason: Option<EndReason>) {
-    if let Some(sender) = open.answer.take() {
-        open.over.set(true);
+/// Sends the final answer and logs the request unless it was served in time. `reason` says why it ends
+/// without an answer from a server.
+fn send_answer(request: &mut InFlightRequest, answer: Answer, reason: Option<EndReason>) {
+    if let Some(sender) = request.answer.take() {
+        request.finished.set(true);
         let end = match answer {
-            Answer::Served(_) if open.at.elapsed() <= open.aim => None,
+            Answer::Served(_) if request.received_at.elapsed() <= request.latency_target => None,
             Answer::Served(_) => Some("served late"),
             Answer::Refused { .. } => Some("refused"),
             Answer::Failed => Some("failed"),
         };
         if let Some(end) = end {
-            open.tell(end, reason);
+            request.log_end(end, reason);
         }
-        // A client that has gone meanwhile is owed nothing.
+        // A client that has disconnected meanwhile is not owed an answer.
         let _ = sender.send(answer);
     }
 }
 
-/// `until`, or what the node's own end leaves of it: a client that would wait longer gets its answer before.
-fn bound(until: Instant, answer_by: Option<Instant>) -> Instant {
+/// Limits a deadline to what the node's own shutdown leaves of it, so that clients which would wait longer
+/// get their answer before the exit.
+fn limit_to_shutdown(deadline: Instant, answer_by: Option<Instant>) -> Instant {
     match answer_by {
-        Some(answer_by) => until.min(answer_by.checked_sub(GUARD).unwrap_or(answer_by)),
-        None => until,
+        Some(answer_by) => deadline.min(answer_by.checked_sub(ANSWER_DEADLINE_MARGIN).unwrap_or(answer_by)),
+        None => deadline,
     }
 }
 
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -9,8 +9,8 @@
 use tokio::task::LocalSet;
 use walkpick::{Class, ClassId, Effect, LoadReport, Settings};
 
-/// A driver whose cache servers take connections and say nothing: what attempts come to is made up.
-struct Rig {
+/// A driver whose cache servers accept connections and never answer; the results of attempts are injected.
+struct Harness {
     driver: Driver,
     events: UnboundedSender<Input>,
     inputs: UnboundedReceiver<Input>,
@@ -21,7 +21,7 @@
 
 const LONG: Duration = Duration::from_secs(600);
 
-impl Rig {
+impl Harness {
     fn new(servers: usize) -> Self {
         let class = |effect| Class { effect, latency_target: LONG, deadline: LONG, ..Class::default() };
         let classes = vec![class(Effect::Safe), class(Effect::Unsafe)];
@@ -39,7 +39,7 @@
         Self { driver, events, inputs, _servers: servers, next_number: 0, lag: Duration::ZERO }
     }
 
-    fn ask(&mut self, class: usize) -> (RequestId, Receiver<Answer>) {
+    fn submit(&mut self, class: usize) -> (RequestId, Receiver<Answer>) {
         self.next_number += 1;
         let (answer, receiver) = oneshot::channel();
         let upstream_request = crate::net::upstream::UpstreamRequest {
@@ -49,7 +49,7 @@
             idempotency_key: None,
             body: Bytes::new(),
         };
-        self.driver.take(Input::Client(ClientEvent::Request(Box::new(ClientRequest {
+        self.driver.handle_input(Input::Client(ClientEvent::Request(Box::new(ClientRequest {
             number: self.next_number,
             received_at: Instant::now(),
             lag: self.lag,
@@ -66,16 +66,16 @@
             finished: Rc::default(),
             answer,
         }))));
-        self.driver.handle_due();
+        self.driver.process_events();
         (request_id(self.next_number), receiver)
     }
 
-    fn end(&mut self, id: &RequestId, status: Status) {
+    fn finish_attempt(&mut self, id: &RequestId, status: Status) {
         let attempt = self.driver.in_flight[id].attempts.len() as u32 - 1;
         let body = (status == Status::Ok).then(Bytes::new);
-        let ended = AttemptResult { status, note: None, load: LoadReport::default(), body };
-        self.driver.take(Input::Ended { id: id.clone(), attempt, ended });
-        self.driver.handle_due();
+        let result = AttemptResult { status, cache_status: None, load: LoadReport::default(), body };
+        self.driver.handle_input(Input::AttemptEnded { id: id.clone(), attempt, result });
+        self.driver.process_events();
     }
 
     fn attempts(&self, id: &RequestId) -> usize {
@@ -83,117 +83,127 @@
     }
 }
 
-// Guards against a request that is still out when the kill comes: a client's own patience may be longer.
+// Guards against a request that is still in flight when the node is killed: its client's timeout may be
+// longer.
 #[tokio::test(start_paused = true)]
 async fn requests_in_flight_at_shutdown_are_answered_before_the_exit() {
-    LocalSet::new().run_until(stop_with_all_kinds_out()).await;
+    LocalSet::new().run_until(shut_down_with_requests_in_flight()).await;
 }
 
-async fn stop_with_all_kinds_out() {
-    let mut rig = Rig::new(3);
-    let silent = rig.ask(1);
-    let again = rig.ask(0);
-    rig.end(&again.0, Status::ConnectError);
-    assert_eq!((rig.attempts(&silent.0), rig.attempts(&again.0)), (1, 2), "sent, and sent again");
-    // A server that answered quickly so far and has no room now: what comes waits for a place.
-    let mut crowded = Rig::new(1);
+async fn shut_down_with_requests_in_flight() {
+    let mut harness = Harness::new(3);
+    let unanswered = harness.submit(1);
+    let retried = harness.submit(0);
+    harness.finish_attempt(&retried.0, Status::ConnectError);
+    assert_eq!(
+        (harness.attempts(&unanswered.0), harness.attempts(&retried.0)),
+        (1, 2),
+        "sent once, and sent twice"
+    );
+    // A server that answered quickly so far and has no capacity left now: further requests are queued.
+    let mut overloaded = Harness::new(1);
     for _ in 0..300 {
-        let quick = crowded.ask(0);
-        crowded.end(&quick.0, Status::Ok);
+        let quick = overloaded.submit(0);
+        overloaded.finish_attempt(&quick.0, Status::Ok);
     }
-    let waiting: Vec<_> = (0..10).map(|_| crowded.ask(0)).collect();
-    let held = waiting.iter().filter(|(id, _)| crowded.attempts(id) == 0).count();
-    assert!(held > 0, "none was held for room");
-    let (told, end) = (Instant::now(), Instant::now() + Duration::from_secs(2));
-    for rig in [&rig, &crowded] {
-        rig.events.send(Input::Stopping { answer_by: end }).unwrap();
+    let waiting: Vec<_> = (0..10).map(|_| overloaded.submit(0)).collect();
+    let queued = waiting.iter().filter(|(id, _)| overloaded.attempts(id) == 0).count();
+    assert!(queued > 0, "no request was queued");
+    let (shutdown_started, exit_by) = (Instant::now(), Instant::now() + Duration::from_secs(2));
+    for harness in [&harness, &overloaded] {
+        harness.events.send(Input::ShuttingDown { answer_by: exit_by }).unwrap();
     }
-    rig.driver.step(&mut rig.inputs).await;
-    crowded.driver.step(&mut crowded.inputs).await;
-    let (late, mut owed) = (rig.ask(0), vec![silent.1, again.1]);
-    assert_eq!(rig.attempts(&late.0), 1, "sent after the node was told");
+    harness.driver.step(&mut harness.inputs).await;
+    overloaded.driver.step(&mut overloaded.inputs).await;
+    let (late, mut owed) = (harness.submit(0), vec![unanswered.1, retried.1]);
+    assert_eq!(harness.attempts(&late.0), 1, "sent during the shutdown");
     owed.extend([late.1]);
     owed.extend(waiting.into_iter().map(|(_, answer)| answer));
-    while !rig.driver.in_flight.values().all(|open| open.answer.is_none()) {
-        rig.driver.step(&mut rig.inputs).await;
+    while !harness.driver.in_flight.values().all(|request| request.answer.is_none()) {
+        harness.driver.step(&mut harness.inputs).await;
     }
-    while !crowded.driver.in_flight.values().all(|open| open.answer.is_none()) {
-        crowded.driver.step(&mut crowded.inputs).await;
+    while !overloaded.driver.in_flight.values().all(|request| request.answer.is_none()) {
+        overloaded.driver.step(&mut overloaded.inputs).await;
     }
-    assert!(Instant::now() <= end, "answered {:?} after the node was told", told.elapsed());
-    assert!(owed.iter_mut().all(|answer| answer.try_recv().is_ok()), "each has its answer");
-    let after = rig.ask(0);
+    assert!(Instant::now() <= exit_by, "answered {:?} after the shutdown began", shutdown_started.elapsed());
+    assert!(owed.iter_mut().all(|answer| answer.try_recv().is_ok()), "every request has its answer");
+    let after = harness.submit(0);
     assert!(
-        !rig.driver.in_flight.contains_key(&after.0),
-        "what comes after the last moment is answered at once"
+        !harness.driver.in_flight.contains_key(&after.0),
+        "a request after the last moment is answered at once"
     );
 }
 
-// Guards against an answer that is given in time by a node that is too late to write it.
+// Guards against a lagging node that gives an answer in time but writes it too late.
 #[tokio::test(start_paused = true)]
 async fn a_lagging_node_answers_earlier_by_its_lag() {
     LocalSet::new()
         .run_until(async {
-            let mut rig = Rig::new(1);
-            rig.lag = Duration::from_millis(400);
-            let (start, (_, mut answer)) = (Instant::now(), rig.ask(1));
+            let mut harness = Harness::new(1);
+            harness.lag = Duration::from_millis(400);
+            let (start, (_, mut answer)) = (Instant::now(), harness.submit(1));
             while answer.try_recv().is_err() {
-                rig.driver.step(&mut rig.inputs).await;
+                harness.driver.step(&mut harness.inputs).await;
             }
-            assert!(start.elapsed() <= LONG - rig.lag, "answered after {:?}", start.elapsed());
-            // Nothing is left of a client's patience: what can't be answered in time is given up at once.
-            rig.lag = LONG;
-            assert!(rig.ask(1).1.try_recv().is_ok());
+            assert!(start.elapsed() <= LONG - harness.lag, "answered after {:?}", start.elapsed());
+            // Nothing is left of the client's timeout: a request that cannot be answered in time fails at
+            // once.
+            harness.lag = LONG;
+            assert!(harness.submit(1).1.try_recv().is_ok());
         })
         .await;
 }
 
-// Guards against a second final answer, a request that stays open, or a panic, where its deadline, its server's answer
-// and its client's leaving come in one turn, in any order.
+// Guards against a second final answer, a request that never ends, or a panic, when a request's deadline, its
+// server's answer and its client's disconnect fall into one step, in any order.
 #[tokio::test(start_paused = true)]
 async fn a_deadline_an_answer_and_a_disconnect_in_one_step_end_the_request_once() {
     LocalSet::new()
         .run_until(async {
             for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
                 for class in [0, 1] {
-                    let mut rig = Rig::new(2);
-                    let (id, mut answer) = rig.ask(class);
-                    let over = rig.driver.in_flight[&id].over.clone();
+                    let mut harness = Harness::new(2);
+                    let (id, mut answer) = harness.submit(class);
+                    let finished = harness.driver.in_flight[&id].finished.clone();
                     for event in order {
                         match event {
-                            0 => rig.driver.guard(id.clone()),
-                            1 if rig.driver.in_flight.contains_key(&id) => rig.end(&id, Status::Ok),
+                            0 => harness.driver.fail_overdue(id.clone()),
+                            1 if harness.driver.in_flight.contains_key(&id) => {
+                                harness.finish_attempt(&id, Status::Ok)
+                            }
                             1 => {}
-                            _ => rig.driver.take(Input::Client(ClientEvent::Disconnected(rig.next_number))),
+                            _ => harness
+                                .driver
+                                .handle_input(Input::Client(ClientEvent::Disconnected(harness.next_number))),
                         }
-                        assert!(over.get(), "nothing begins for it any more: {order:?}");
+                        assert!(finished.get(), "no further attempt starts: {order:?}");
                     }
-                    rig.driver.handle_due();
+                    harness.driver.process_events();
                     let served = matches!(answer.try_recv(), Ok(Answer::Served(_)));
                     assert_eq!(served, order[0] == 1, "{order:?}");
-                    assert!(rig.driver.in_flight.is_empty(), "{order:?}");
-                    // What it held is given back: as many again find room.
-                    let again = rig.ask(class).0;
-                    assert_eq!(rig.attempts(&again), 1, "{order:?}");
+                    assert!(harness.driver.in_flight.is_empty(), "{order:?}");
+                    // What it occupied is released: the next request is sent.
+                    let next = harness.submit(class).0;
+                    assert_eq!(harness.attempts(&next), 1, "{order:?}");
                 }
             }
         })
         .await;
 }
 
-// Guards against an attempt that has not begun and goes on for a client that left, and against one that has begun and
-// is no longer waited for: it may run, and tells of its server.
+// Guards against an attempt that has not started and still starts after its client has left, and against
+// cancelling one that has started: it may run, and its result says something about its server.
 #[tokio::test(start_paused = true)]
 async fn a_disconnect_cancels_only_attempts_that_have_not_started() {
     LocalSet::new()
         .run_until(async {
-            for begun in [false, true] {
-                let mut rig = Rig::new(2);
-                let (id, _answer) = rig.ask(1);
-                rig.driver.in_flight[&id].attempts[0].begun.set(begun);
-                rig.driver.take(Input::Client(ClientEvent::Disconnected(rig.next_number)));
-                rig.driver.handle_due();
-                assert_eq!(rig.driver.in_flight.contains_key(&id), begun);
+            for started in [false, true] {
+                let mut harness = Harness::new(2);
+                let (id, _answer) = harness.submit(1);
+                harness.driver.in_flight[&id].attempts[0].started.set(started);
+                harness.driver.handle_input(Input::Client(ClientEvent::Disconnected(harness.next_number)));
+                harness.driver.process_events();
+                assert_eq!(harness.driver.in_flight.contains_key(&id), started);
             }
         })
         .await;
--- a/src/net/lifecycle/tests.rs
+++ b/src/net/lifecycle/tests.rs
@@ -40,12 +40,8 @@
     }
     assert_eq!(lag_monitor.earliest_signal_at(), start + ms(100));
     assert_eq!(lag_monitor.recent_max_lag(), ms(750));
-    assert_eq!(lag_monitor.current_lag(start + ms(901)), ms(750), "as late as it has just been");
-    assert_eq!(
-        lag_monitor.current_lag(start + ms(1_900)),
-        ms(950),
-        "a look that is not made yet is late all the same"
-    );
+    assert_eq!(lag_monitor.current_lag(start + ms(901)), ms(750), "the lag of the latest sample");
+    assert_eq!(lag_monitor.current_lag(start + ms(1_900)), ms(950), "an overdue sample counts as lag");
     lag_monitor.sample(start + ms(5_900), start + ms(5_900));
     assert_eq!(lag_monitor.recent_max_lag(), ms(375));
 }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,4 +1,5 @@
-//! The peers' socket: datagrams to and from the membership, its times, and what it tells. It decides nothing.
+//! The peers' UDP socket: passes datagrams and timers to the membership and performs its outputs. It makes no
+//! decisions.
 
 use std::future::pending;
 use std::io;
@@ -13,22 +14,22 @@
 
 use super::lifecycle::Stage;
 
-/// A datagram of ours is never longer; what is longer is cut, and then no datagram of ours.
-const LARGEST: usize = 2_048;
-/// Datagrams that are read before the times are looked at again.
-const AT_ONCE: usize = 64;
+/// Maximum size of a datagram of this protocol. Longer ones are truncated and then rejected as foreign.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// Number of datagrams read before the timers are checked again.
+const MAX_DATAGRAMS_PER_STEP: usize = 64;
 
-/// A membership on its socket.
-pub struct Peering {
+/// A membership on its UDP socket.
+pub struct PeerSocket {
     socket: UdpSocket,
     peers: Peers,
     start: Instant,
     buffer: Vec<u8>,
-    out: Vec<Output>,
+    pending: Vec<Output>,
 }
 
-impl Peering {
-    /// Opens the socket. Others reach it at `advertise`; at the socket's own address where that is missing.
+impl PeerSocket {
+    /// Opens the socket. Peers reach it at `advertise`, or at the socket's own address if that is not given.
     pub async fn open(
         listen: SocketAddr,
         advertise: Option<SocketAddr>,
@@ -45,113 +46,118 @@
         };
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let order = u64::try_from(unix.as_micros()).unwrap_or(u64::MAX);
-        // Its own draw: two lives that share a seed are two lives all the same.
+        // Drawn independently of the seed, so that two incarnations with the same seed still differ.
         let salt = fastrand::u32(..);
         let me = Peer { address, order, salt, observer, name: name.to_owned(), more: location.encode() };
-        let (start, buffer, out) = (Instant::now(), vec![0; LARGEST], Vec::new());
-        Ok(Self { socket, peers: Peers::new(config, me, seed, 0), start, buffer, out })
+        let (start, buffer, pending) = (Instant::now(), vec![0; MAX_DATAGRAM_BYTES], Vec::new());
+        Ok(Self { socket, peers: Peers::new(config, me, seed, 0), start, buffer, pending })
     }
 
-    /// Where others reach it.
+    /// The address at which peers reach this node.
     pub fn address(&self) -> SocketAddr {
         self.peers.me().address
     }
 
-    /// The membership.
+    /// The membership and dissemination engine.
     pub fn peers(&self) -> &Peers {
         &self.peers
     }
 
-    /// Its time.
+    /// The engine's clock.
     pub fn now(&self) -> Micros {
         u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Waits for datagrams or a time, and takes in what has come; what follows from it is in `told`.
-    pub async fn step(&mut self, told: &mut Vec<Output>) {
+    /// Waits for a datagram or a timer and handles it; outputs for the caller are added to `outputs`.
+    pub async fn step(&mut self, outputs: &mut Vec<Output>) {
         let next = self.peers.next().map(|at| self.start + Duration::from_micros(at));
-        let time = async {
+        let timer = async {
             match next {
                 Some(at) => sleep_until(at).await,
                 None => pending().await,
             }
         };
         tokio::select! {
-            received = self.socket.recv_from(&mut self.buffer) => self.take(received),
-            () = time => {}
+            received = self.socket.recv_from(&mut self.buffer) => self.receive(received),
+            () = timer => {}
         }
-        // After a sleep the datagrams that waited go before the times.
-        for _ in 0..AT_ONCE {
+        // After a sleep, datagrams that were waiting are handled before the timers.
+        for _ in 0..MAX_DATAGRAMS_PER_STEP {
             match self.socket.try_recv_from(&mut self.buffer) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                received => self.take(received),
+                received => self.receive(received),
             }
         }
-        self.peers.timers(self.now(), &mut self.out);
-        self.carry_out(told);
+        self.peers.timers(self.now(), &mut self.pending);
+        self.perform(outputs);
     }
 
-    /// Says farewell.
-    pub fn leave(&mut self, told: &mut Vec<Output>) {
-        self.peers.leave(self.now(), &mut self.out);
-        self.carry_out(told);
+    /// Sends leave messages.
+    pub fn leave(&mut self, outputs: &mut Vec<Output>) {
+        self.peers.leave(self.now(), &mut self.pending);
+        self.perform(outputs);
     }
 
-    fn take(&mut self, received: io::Result<(usize, SocketAddr)>) {
-        // An error here is a peer's machine that refused an earlier datagram: the engine sees that by itself.
+    fn receive(&mut self, received: io::Result<(usize, SocketAddr)>) {
+        // An error means that a peer's machine refused an earlier datagram; the engine detects that on its
+        // own.
         if let Ok((length, _)) = received {
-            self.peers.datagram(self.now(), &self.buffer[..length], &mut self.out);
+            self.peers.datagram(self.now(), &self.buffer[..length], &mut self.pending);
         }
     }
 
-    fn carry_out(&mut self, told: &mut Vec<Output>) {
-        for output in std::mem::take(&mut self.out) {
+    fn perform(&mut self, outputs: &mut Vec<Output>) {
+        for output in std::mem::take(&mut self.pending) {
             match output {
-                // What cannot be sent at once is lost, as on any network.
+                // A datagram that cannot be sent at once is lost, as on any network.
                 Output::Send { to, data } => drop(self.socket.try_send_to(&data, to)),
                 Output::Dissemination(DisseminationOutput::StateOffered { publisher, entry }) => {
                     self.accept(publisher, &entry);
                 }
-                other => told.push(other),
+                other => outputs.push(other),
             }
         }
-        // What an accepted state gives rise to.
-        if !self.out.is_empty() {
-            self.carry_out(told);
+        // Performs what follows from an accepted state.
+        if !self.pending.is_empty() {
+            self.perform(outputs);
         }
     }
 
-    /// No part of the program acts on a state yet: each is in force as it comes.
+    /// No part of the program acts on states yet: each one is accepted on arrival.
     fn accept(&mut self, publisher: u64, entry: &Entry) {
         let (now, key) = (self.now(), StateKey { publisher, kind: entry.kind });
-        self.peers.decide_state(now, key, entry.epoch, entry.sequence, Ok(()), &mut self.out);
+        self.peers.decide_state(now, key, entry.epoch, entry.sequence, Ok(()), &mut self.pending);
     }
 }
 
-/// Takes part until the node leaves, and tells the number of nodes that may be relied on.
-pub async fn run(mut peering: Peering, mut stage: watch::Receiver<Stage>, tell: impl Fn(u32)) {
-    let mut told = Vec::new();
+/// Takes part in the cluster until the node leaves; reports the number of nodes that may be relied on.
+pub async fn run(
+    mut peer_socket: PeerSocket,
+    mut stage: watch::Receiver<Stage>,
+    on_node_count: impl Fn(u32),
+) {
+    let mut outputs = Vec::new();
     loop {
-        let over = tokio::select! {
-            // It waits in one place alone, before it takes anything in.
-            () = peering.step(&mut told) => false,
+        let leaving = tokio::select! {
+            // `step` waits only at its start, before it handles any input, so cancelling it loses nothing.
+            () = peer_socket.step(&mut outputs) => false,
             _ = stage.wait_for(|stage| *stage >= Stage::NotReady) => true,
         };
-        if over {
-            peering.leave(&mut told);
+        if leaving {
+            peer_socket.leave(&mut outputs);
         }
-        told.drain(..).for_each(|output| hear(&peering, output, &tell));
-        if over {
+        outputs.drain(..).for_each(|output| handle_output(&peer_socket, output, &on_node_count));
+        if leaving {
             return;
         }
     }
 }
 
-fn hear(peering: &Peering, output: Output, tell: &impl Fn(u32)) {
+fn handle_output(peer_socket: &PeerSocket, output: Output, on_node_count: &impl Fn(u32)) {
     match output {
         Output::Count(nodes) => {
-            info!(target: "peers", nodes, "so many nodes are relied on");
-            tell(nodes);
+            info!(target: "peers", nodes, "reliable node count changed");
+            on_node_count(nodes);
         }
         Output::Standing { peer, standing } => {
             let (name, address) = (peer.name.as_str(), peer.address);
@@ -163,7 +169,7 @@
             }
         }
         Output::Agreement(agreement) => {
-            let nodes = peering.peers.view(peering.now()).nodes;
+            let nodes = peer_socket.peers.view(peer_socket.now()).nodes;
             match agreement {
                 Agreement::Agreed => info!(target: "peers", nodes, "views agree"),
                 Agreement::Converging => {
@@ -178,29 +184,29 @@
             let address = by.address;
             error!(target: "peers", %address, yields, "another process claims this node's name");
         }
-        Output::CameBack => warn!(target: "peers", "others took this node for gone; it is back"),
-        Output::Dissemination(output) => hear_publisher(&output),
+        Output::CameBack => warn!(target: "peers", "peers had declared this node lost; it has rejoined"),
+        Output::Dissemination(output) => log_dissemination(&output),
         Output::Send { .. } => {}
     }
 }
 
-fn hear_publisher(output: &DisseminationOutput) {
+fn log_dissemination(output: &DisseminationOutput) {
     match output {
         DisseminationOutput::Deliver { publisher, entry } => {
             let (epoch, sequence) = (entry.epoch, entry.sequence);
-            debug!(target: "peers", publisher, epoch, sequence, "an entry of a log has come");
+            debug!(target: "peers", publisher, epoch, sequence, "log entry received");
         }
         DisseminationOutput::StateInForce { publisher, entry } => {
             let (epoch, version) = (entry.epoch, entry.sequence);
-            debug!(target: "peers", publisher, epoch, version, "a state is in force");
+            debug!(target: "peers", publisher, epoch, version, "state applied");
         }
         DisseminationOutput::LogReset { publisher, after, through } => {
-            info!(target: "peers", publisher, after, through, "entries of a log are left out");
+            info!(target: "peers", publisher, after, through, "log entries skipped");
         }
         DisseminationOutput::Stale { publisher, behind } => {
-            warn!(target: "peers", publisher, behind, "this node is behind in a log");
+            warn!(target: "peers", publisher, behind, "this node is behind in a publisher's log");
         }
-        // The other words are for publishers, which the program is not.
+        // The other outputs are for publishers, which this program is not.
         _ => {}
     }
 }
--- a/src/net/server/tests.rs
+++ b/src/net/server/tests.rs
@@ -11,13 +11,19 @@
     let settings =
         Settings { classes: vec![Class { name: "read".into(), ..Class::default() }], ..Settings::default() };
     let requests = requests.clone();
-    let tell = move |event| match event {
+    let on_event = move |event| match event {
         ClientEvent::Request(request) => requests.borrow_mut().push(*request),
         ClientEvent::Disconnected(_) => {}
     };
     (
         stages,
-        Rc::new(Frontend::new(&settings, Rc::default(), Rc::new(LagMonitor::start()), stage, Rc::new(tell))),
+        Rc::new(Frontend::new(
+            &settings,
+            Rc::default(),
+            Rc::new(LagMonitor::start()),
+            stage,
+            Rc::new(on_event),
+        )),
     )
 }
 
@@ -72,7 +78,7 @@
     answer_last(&requests);
     let text = read_available(&mut client).await;
     assert!(text.starts_with("HTTP/1.1 200") && text.ends_with("value"), "cut at {cut}: {text:?}");
-    assert_eq!(client.read(&mut [0; 1]).await.unwrap(), 0, "closed lag its answer");
+    assert_eq!(client.read(&mut [0; 1]).await.unwrap(), 0, "closed after its answer");
     serving.await.unwrap();
 }
 
@@ -116,7 +122,7 @@
                 clients.push(client);
                 wait_for_request(&requests).await;
             }
-            assert_eq!(requests.borrow().len(), 1, "the others lie lag the first");
+            assert_eq!(requests.borrow().len(), 1, "the others wait in the backlog");
             stages.send_replace(Stage::Closing);
             for mut client in clients {
                 wait_for_request(&requests).await;
@@ -238,7 +244,11 @@
                     let _ = client.write_all(REQUEST.as_bytes()).await;
                 }
                 settle().await;
-                assert_eq!(requests.borrow().len(), usize::from(request_first), "by the stage: {by_stage}");
+                assert_eq!(
+                    requests.borrow().len(),
+                    usize::from(request_first),
+                    "closed by the stage: {by_stage}"
+                );
                 if request_first {
                     answer_last(&requests);
                     let text = read_available(&mut client).await;
@@ -266,7 +276,7 @@
             let answered = Instant::now();
             answer_last(&requests);
             assert!(read_available(&mut client).await.ends_with("value"));
-            assert!(!serving.is_finished(), "it waits for its client to close");
+            assert!(!serving.is_finished(), "the close lingers until the client closes");
             // The client sends a few bytes from time to time and never closes.
             let sending = async {
                 while client.write_all(b"more").await.is_ok() {
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct AttemptResult {
     pub status: Status,
-    pub note: Option<CacheStatus>,
+    pub cache_status: Option<CacheStatus>,
     pub load: LoadReport,
     /// The complete body of a 200 response.
     pub body: Option<Bytes>,
@@ -72,7 +72,7 @@
 impl AttemptResult {
     /// A result without an answer from the server.
     pub fn without_answer(status: Status) -> Self {
-        Self { status, note: None, load: LoadReport::default(), body: None }
+        Self { status, cache_status: None, load: LoadReport::default(), body: None }
     }
 }
 
@@ -417,7 +417,7 @@
     let response = sender.send_request(request).await?;
     let status = response_status(&response);
     let text = |name: &HeaderName| response.headers().get(name).and_then(|value| value.to_str().ok());
-    let note = match text(&CACHE) {
+    let cache_status = match text(&CACHE) {
         Some("hit") => Some(CacheStatus::Hit),
         Some("miss") => Some(CacheStatus::Miss),
         Some("pending") => Some(CacheStatus::MissFetching),
@@ -427,12 +427,12 @@
     match Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await {
         Ok(body) => {
             let body = (status == Status::Ok).then(|| body.to_bytes());
-            Ok((AttemptResult { status, note, load, body }, true))
+            Ok((AttemptResult { status, cache_status, load, body }, true))
         }
         Err(error) => match error.downcast::<hyper::Error>() {
             Ok(error) => Err(*error),
             // Larger than any valid answer: the request ran, but its answer is useless.
-            Err(_) => Ok((AttemptResult { status: Status::Failed, note, load, body: None }, false)),
+            Err(_) => Ok((AttemptResult { status: Status::Failed, cache_status, load, body: None }, false)),
         },
     }
 }
