--- a/src/check.rs
+++ b/src/check.rs
@@ -108,11 +108,11 @@
 fn options(as_json: bool, out: &mut impl Write) -> io::Result<()> {
     let rows = OPTIONS.iter().map(|item| (format!("walkpick.{}", item.path), item));
     if as_json {
-        let row = |(path, item): (String, &config::section::OptionSpec)| json!({"path": path, "expected": item.kind.expected(), "default": item.default, "about": item.about});
+        let row = |(path, item): (String, &config::section::OptionSpec)| json!({"path": path, "expected": item.kind.expected(), "default": item.default, "about": item.description});
         return writeln!(out, "{:#}", serde_json::Value::Array(rows.map(row).collect()));
     }
     for (path, item) in rows {
-        writeln!(out, "{path} = {}\n    {}\n    {}", item.default, item.kind.expected(), item.about)?;
+        writeln!(out, "{path} = {}\n    {}\n    {}", item.default, item.kind.expected(), item.description)?;
     }
     Ok(())
 }
--- a/src/net/config/fault.rs
+++ b/src/net/config/fault.rs
@@ -52,7 +52,7 @@
 /// Why a configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    #[error("LB_CONFIG: found nothing, expected the path of a configuration")]
+    #[error("LB_CONFIG: found nothing, expected the path of a configuration file")]
     NoPath,
     #[error("{}: cannot be read: {error}", path.display())]
     Unreadable { path: PathBuf, error: std::io::Error },
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -82,7 +82,7 @@
         std::fs::read(path).map_err(|error| ConfigError::Unreadable { path: path.to_owned(), error })?;
     let invalid = |fault| ConfigError::Invalid { path: path.to_owned(), faults: vec![fault] };
     let text = std::str::from_utf8(&bytes).map_err(|error| {
-        invalid(Fault::new(format!("byte {}", error.valid_up_to()), "no UTF-8", "text in UTF-8"))
+        invalid(Fault::new(format!("byte {}", error.valid_up_to()), "invalid UTF-8", "UTF-8 text"))
     })?;
     if text.trim().is_empty() {
         return Err(invalid(Fault::new("the file", "nothing", "a JSON object")));
@@ -90,7 +90,7 @@
     let value = serde_json::from_str(text).map_err(|error| {
         let place = format!("line {}, column {}", error.line(), error.column());
         let found = if error.is_eof() { "the end of the text".to_owned() } else { error.to_string() };
-        invalid(Fault::new(place, found, "a whole JSON object"))
+        invalid(Fault::new(place, found, "a complete JSON object"))
     })?;
     match value {
         Value::Object(file) => Ok(file),
@@ -109,13 +109,18 @@
     let discovery = address(file, "discovery", &variable, faults);
     let seed = text(file, "seed", faults).and_then(|seed| {
         let read = u64::from_str_radix(&seed, 16).ok();
-        read.or_else(|| report_fault(file, "seed", "a hexadecimal number of 64 bits", faults))
+        read.or_else(|| report_fault(file, "seed", "a 64-bit hexadecimal number", faults))
     });
     let sockets = sockets(file, faults);
     let known = match file.get("known") {
         None => Some(Listing::default()),
         Some(known) => serde_json::from_value(known.clone()).ok().or_else(|| {
-            report_fault(file, "known", "a list in discovery's form: `seq`, `whole` and `hosts`", faults)
+            report_fault(
+                file,
+                "known",
+                "a server list as discovery sends it, with `seq`, `whole` and `hosts`",
+                faults,
+            )
         }),
     };
     let settings = settings(file, faults);
@@ -149,7 +154,7 @@
 
 fn text(file: &Map<String, Value>, name: &str, faults: &mut Vec<Fault>) -> Option<String> {
     let text = file.get(name).and_then(Value::as_str).map(str::to_owned);
-    text.or_else(|| report_fault(file, name, "a text", faults))
+    text.or_else(|| report_fault(file, name, "a string", faults))
 }
 
 /// Reads an address from its environment variable, or else from the file.
@@ -181,7 +186,8 @@
     let read = sockets.and_then(Value::as_u64).filter(|sockets| *sockets >= MIN_SOCKETS);
     let read = read.and_then(|sockets| usize::try_from(sockets).ok());
     read.or_else(|| {
-        let expected = format!("a whole number from {MIN_SOCKETS}: fewer leave no room to work");
+        let expected =
+            format!("a whole number of at least {MIN_SOCKETS}: the node needs that many descriptors");
         faults.push(Fault::at("limits.sockets", sockets, expected));
         None
     })
--- a/src/net/config/section.rs
+++ b/src/net/config/section.rs
@@ -173,7 +173,7 @@
     pub kind: ValueKind,
     /// The default as JSON.
     pub default: &'static str,
-    pub about: &'static str,
+    pub description: &'static str,
 }
 
 /// All options of the section.
@@ -182,103 +182,103 @@
         path: "log.format",
         kind: ValueKind::OneOf(&["text", "json"]),
         default: "\"text\"",
-        about: "lines for a reader, or one JSON object a line",
+        description: "plain text, or one JSON object per line",
     },
     OptionSpec {
         path: "log.level",
         kind: ValueKind::OneOf(LEVELS),
         default: "\"info\"",
-        about: "the least grave lines that are written",
+        description: "minimum severity of the lines that are written",
     },
     OptionSpec {
         path: "log.levels",
         kind: ValueKind::Map(SUBSYSTEMS, LEVELS),
         default: "{}",
-        about: "another level for a subsystem",
+        description: "level of a subsystem, overriding `log.level`",
     },
     OptionSpec {
         path: "log.like_lines",
         kind: ValueKind::Count(1, 1_000_000),
         default: "100",
-        about: "lines from one place of the program that are written within `log.window`; what is left out is counted",
+        description: "maximum number of lines from one call site within `log.window`; further lines are dropped and counted",
     },
     OptionSpec {
         path: "log.window",
         kind: ValueKind::Time(Duration::from_millis(100), Duration::from_secs(3600)),
         default: "\"1s\"",
-        about: "the time over which like lines are counted",
+        description: "time window of `log.like_lines`",
     },
     OptionSpec {
         path: "peers.advertise",
         kind: ValueKind::Address,
         default: "null",
-        about: "where other nodes reach `peers.listen`; the same address where it is not given",
+        description: "address at which other nodes reach `peers.listen`; the same address if not set",
     },
     OptionSpec {
         path: "peers.cluster",
         kind: ValueKind::Text(32),
         default: "\"walkpick\"",
-        about: "datagrams of a cluster with another name are dropped",
+        description: "name of the cluster; datagrams of other clusters are dropped",
     },
     OptionSpec {
         path: "peers.dissemination",
         kind: ValueKind::OneOf(&["off", "on"]),
         default: "\"off\"",
-        about: "whether entries and states of publishers reach this node and go on from it; at all nodes of a cluster or at none",
+        description: "whether this node receives and forwards entries and states of publishers; must be the same at all nodes of a cluster",
     },
     OptionSpec {
         path: "peers.hold",
         kind: ValueKind::Time(Duration::from_secs(1), Duration::from_secs(3600)),
         default: "\"10s\"",
-        about: "fewer nodes are believed once views have agreed on them for so long",
+        description: "a lower node count is used once views have agreed on it for this long",
     },
     OptionSpec {
         path: "peers.listen",
         kind: ValueKind::Address,
         default: "null",
-        about: "where this node meets its peers, by UDP; without it it meets nobody",
+        description: "UDP address for the membership; if not set, this node does not take part in it",
     },
     OptionSpec {
         path: "peers.memory",
         kind: ValueKind::Time(Duration::from_secs(10), Duration::from_secs(24 * 3600)),
         default: "\"5m\"",
-        about: "for so long no fewer nodes are believed than half of the most that were",
+        description: "for this long the node count is not reduced below half of its recent maximum",
     },
     OptionSpec {
         path: "peers.probe_every",
         kind: ValueKind::Time(Duration::from_millis(100), Duration::from_secs(60)),
         default: "\"400ms\"",
-        about: "how often this node looks whether a peer is there",
+        description: "interval at which this node probes a peer",
     },
     OptionSpec {
         path: "peers.probe_timeout",
         kind: ValueKind::Time(Duration::from_millis(10), Duration::from_secs(30)),
         default: "\"180ms\"",
-        about: "an answer that takes longer is asked for by way of others; at the most half of `peers.probe_every`",
+        description: "after this time without an answer a peer is probed through others; at most half of `peers.probe_every`",
     },
     OptionSpec {
         path: "peers.region",
         kind: ValueKind::Text(MAX_PLACE_NAME_BYTES),
         default: "null",
-        about: "the region where this node runs, as its peers are told; short, as each datagram carries it twice",
+        description: "region of this node as reported to its peers; keep it short, since each datagram carries it twice",
     },
     OptionSpec {
         path: "peers.seeds",
         kind: ValueKind::Addresses,
         default: "[]",
-        about: "where other nodes may be met; any of them may be down",
+        description: "addresses of nodes to join through; any of them may be down",
     },
     OptionSpec {
         path: "peers.site",
         kind: ValueKind::Text(MAX_PLACE_NAME_BYTES),
         default: "null",
-        about: "the site where this node runs: what fails together within a zone",
+        description: "site of this node: the failure domain within a zone",
     },
     OptionSpec {
         path: "peers.zone",
         kind: ValueKind::Text(MAX_PLACE_NAME_BYTES),
         default: "null",
-        about: "the zone where this node runs: what fails together within a region",
+        description: "zone of this node: the failure domain within a region",
     },
 ];
 
@@ -290,12 +290,12 @@
         match self {
             Self::OneOf(choices) => format!("one of {}", words(choices)),
             Self::Count(min, max) => format!("a whole number from {min} to {max}"),
-            Self::Text(max) => format!("a text of 1 to {max} bytes"),
+            Self::Text(max) => format!("a string of 1 to {max} bytes"),
             Self::Address => "an address and port".to_owned(),
             Self::Addresses => "a list of addresses and ports".to_owned(),
-            Self::Time(min, max) => format!("a time as text from `{}` to `{}`", time(*min), time(*max)),
+            Self::Time(min, max) => format!("a duration from `{}` to `{}`", time(*min), time(*max)),
             Self::Map(names, choices) => {
-                format!("an object of names among {}, each with one of {}", words(names), words(choices))
+                format!("an object with keys among {} and values among {}", words(names), words(choices))
             }
         }
     }
@@ -344,10 +344,10 @@
     let similarity = |other: &&str| strsim::jaro_winkler(name, other);
     let nearest = known.iter().copied().max_by(|a, b| similarity(a).total_cmp(&similarity(b)));
     let expected = match nearest.filter(|nearest| similarity(nearest) >= MIN_SIMILARITY) {
-        Some(nearest) => format!("a known name: did you mean `{nearest}`?"),
-        None => format!("one of the names {}", known.join(", ")),
+        Some(nearest) => format!("a known key: did you mean `{nearest}`?"),
+        None => format!("one of the keys {}", known.join(", ")),
     };
-    Fault::new(place, "an unknown name", expected)
+    Fault::new(place, "an unknown key", expected)
 }
 
 /// Reads the section, which may be absent, and adds its faults to `faults`.
@@ -359,7 +359,7 @@
         return Section::default();
     }
     let section: Section = serde_json::from_value(value.clone()).unwrap_or_else(|error| {
-        faults.push(Fault::new("walkpick", error.to_string(), "what docs/configuration.md lists"));
+        faults.push(Fault::new("walkpick", error.to_string(), "the options listed in docs/configuration.md"));
         Section::default()
     });
     let peers = &section.peers;
@@ -367,16 +367,12 @@
         faults.push(Fault::new(
             "walkpick.peers.listen",
             "nothing",
-            "an address and port, where peers are configured",
+            "an address and port, since `walkpick.peers` is set",
         ));
     }
     if peers.probe_timeout * 2 > peers.probe_every {
         let found = format_duration(peers.probe_timeout).to_string();
-        faults.push(Fault::new(
-            "walkpick.peers.probe_timeout",
-            found,
-            "half of `peers.probe_every` at the most",
-        ));
+        faults.push(Fault::new("walkpick.peers.probe_timeout", found, "at most half of `peers.probe_every`"));
     }
     section
 }
--- a/src/net/config/section/tests.rs
+++ b/src/net/config/section/tests.rs
@@ -34,8 +34,8 @@
     let page = include_str!("../../../../docs/configuration.md");
     let rows = page.lines().filter(|line| line.starts_with("| `walkpick."));
     let declared = OPTIONS.iter().map(|item| {
-        let (path, expected, about) = (item.path, item.kind.expected(), item.about);
-        format!("| `walkpick.{path}` | {expected} | `{}` | {about} |", item.default)
+        let (path, expected, description) = (item.path, item.kind.expected(), item.description);
+        format!("| `walkpick.{path}` | {expected} | `{}` | {description} |", item.default)
     });
     let declared: Vec<_> = declared.collect();
     assert_eq!(rows.collect::<Vec<_>>(), declared, "docs/configuration.md");
@@ -58,13 +58,13 @@
     assert_eq!(
         faults_of(section),
         [
-            "walkpick.log.levels.polcy: found an unknown name, expected a known name: did you mean `policy`?",
+            "walkpick.log.levels.polcy: found an unknown key, expected a known key: did you mean `policy`?",
             "walkpick.log.levels.request: found \"loud\", expected one of `off`, `error`, `warn`, `info`, \
                  `debug`, `trace`",
-            "walkpick.log.levle: found an unknown name, expected a known name: did you mean `level`?",
+            "walkpick.log.levle: found an unknown key, expected a known key: did you mean `level`?",
             "walkpick.log.like_lines: found -3, expected a whole number from 1 to 1000000",
-            "walkpick.log.window: found \"-1s\", expected a time as text from `100ms` to `1h`",
-            "walkpick.zzz: found an unknown name, expected one of the names log, peers",
+            "walkpick.log.window: found \"-1s\", expected a duration from `100ms` to `1h`",
+            "walkpick.zzz: found an unknown key, expected one of the keys log, peers",
         ]
     );
     assert_eq!(faults_of(json!(7)), ["walkpick: found 7, expected an object"]);
@@ -80,6 +80,6 @@
     assert_eq!((location, &faults[..]), (expected, &[][..]));
     assert_eq!(
         faults_of(json!({"peers": {"listen": "127.0.0.1:7946", "zone": "more than sixteen bytes"}})),
-        ["walkpick.peers.zone: found \"more than sixteen bytes\", expected a text of 1 to 16 bytes"]
+        ["walkpick.peers.zone: found \"more than sixteen bytes\", expected a string of 1 to 16 bytes"]
     );
 }
