--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep_until, Duration, Instant};
 use tracing::{debug, error, info, warn};
 use walkpick::peers::dissemination::{DisseminationOutput, Entry, StateKey};
-use walkpick::peers::{Agreement, Location, Micros, Output, Peer, Peers, PeersConfig, Standing};
+use walkpick::peers::{Agreement, Location, Micros, Output, Peer, PeerStatus, Peers, PeersConfig};
 
 use super::lifecycle::Stage;
 
@@ -55,7 +55,7 @@
 
     /// The address at which peers reach this node.
     pub fn address(&self) -> SocketAddr {
-        self.peers.me().address
+        self.peers.local_peer().address
     }
 
     /// The membership and dissemination engine.
@@ -159,13 +159,13 @@
             info!(target: "peers", nodes, "reliable node count changed");
             on_node_count(nodes);
         }
-        Output::Standing { peer, standing } => {
+        Output::StatusChanged { peer, status: standing } => {
             let (name, address) = (peer.name.as_str(), peer.address);
             match standing {
-                Standing::Present => info!(target: "peers", name, %address, "a peer is present"),
-                Standing::Suspected => info!(target: "peers", name, %address, "a peer is suspected"),
-                Standing::Left => info!(target: "peers", name, %address, "a peer has left"),
-                Standing::Lost => warn!(target: "peers", name, %address, "a peer is lost"),
+                PeerStatus::Present => info!(target: "peers", name, %address, "a peer is present"),
+                PeerStatus::Suspected => info!(target: "peers", name, %address, "a peer is suspected"),
+                PeerStatus::Left => info!(target: "peers", name, %address, "a peer has left"),
+                PeerStatus::Lost => warn!(target: "peers", name, %address, "a peer is lost"),
             }
         }
         Output::Agreement(agreement) => {
@@ -180,7 +180,7 @@
                 }
             }
         }
-        Output::NameClaimed { by, yields } => {
+        Output::NameConflict { other: by, yields } => {
             let address = by.address;
             error!(target: "peers", %address, yields, "another process claims this node's name");
         }
@@ -196,7 +196,7 @@
             let (epoch, sequence) = (entry.epoch, entry.sequence);
             debug!(target: "peers", publisher, epoch, sequence, "log entry received");
         }
-        DisseminationOutput::StateInForce { publisher, entry } => {
+        DisseminationOutput::StateApplied { publisher, entry } => {
             let (epoch, version) = (entry.epoch, entry.sequence);
             debug!(target: "peers", publisher, epoch, version, "state applied");
         }
