--- a/src/members.rs
+++ b/src/members.rs
@@ -62,7 +62,7 @@
             let view = peer_socket.peers().view(peer_socket.now());
             let settled = view.agreement == Agreement::Agreed
                 && view.nodes > 0
-                && u128::from(view.since) >= SETTLE_TIME.as_micros();
+                && u128::from(view.agreement_age_us) >= SETTLE_TIME.as_micros();
             if timed_out || settled {
                 peer_socket.leave(&mut outputs);
                 return Ok(view);
@@ -76,18 +76,14 @@
         |micros: u64| humantime::format_duration(Duration::from_secs(micros / 1_000_000)).to_string();
     let mut lines = vec![format!("{:16} {:22} {:10} {}", "node", "address", "", "for")];
     for seen in view.peers.iter().filter(|seen| !seen.peer.observer) {
-        let standing = match seen.status {
+        let status = match seen.status {
             PeerStatus::Present => "present",
             PeerStatus::Suspected => "suspected",
             PeerStatus::Left => "left",
             PeerStatus::Lost => "lost",
         };
         let address = seen.peer.address.to_string();
-        lines.push(format!(
-            "{:16} {address:22} {standing:10} {}",
-            seen.peer.name,
-            seconds(seen.status_age_us)
-        ));
+        lines.push(format!("{:16} {address:22} {status:10} {}", seen.peer.name, seconds(seen.status_age_us)));
     }
     let agreement = match view.agreement {
         Agreement::Agreed => "views agree",
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -45,12 +45,13 @@
             None => socket.local_addr()?,
         };
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let order = u64::try_from(unix.as_micros()).unwrap_or(u64::MAX);
+        let generation = u64::try_from(unix.as_micros()).unwrap_or(u64::MAX);
         // Drawn independently of the seed, so that two incarnations with the same seed still differ.
         let salt = fastrand::u32(..);
-        let me = Peer { address, order, salt, observer, name: name.to_owned(), more: location.encode() };
+        let local_peer =
+            Peer { address, generation, salt, observer, name: name.to_owned(), metadata: location.encode() };
         let (start, buffer, pending) = (Instant::now(), vec![0; MAX_DATAGRAM_BYTES], Vec::new());
-        Ok(Self { socket, peers: Peers::new(config, me, seed, 0), start, buffer, pending })
+        Ok(Self { socket, peers: Peers::new(config, local_peer, seed, 0), start, buffer, pending })
     }
 
     /// The address at which peers reach this node.
@@ -70,7 +71,7 @@
 
     /// Waits for a datagram or a timer and handles it; outputs for the caller are added to `outputs`.
     pub async fn step(&mut self, outputs: &mut Vec<Output>) {
-        let next = self.peers.next().map(|at| self.start + Duration::from_micros(at));
+        let next = self.peers.next_wakeup().map(|at| self.start + Duration::from_micros(at));
         let timer = async {
             match next {
                 Some(at) => sleep_until(at).await,
@@ -88,7 +89,7 @@
                 received => self.receive(received),
             }
         }
-        self.peers.timers(self.now(), &mut self.pending);
+        self.peers.handle_timers(self.now(), &mut self.pending);
         self.perform(outputs);
     }
 
@@ -102,7 +103,7 @@
         // An error means that a peer's machine refused an earlier datagram; the engine detects that on its
         // own.
         if let Ok((length, _)) = received {
-            self.peers.datagram(self.now(), &self.buffer[..length], &mut self.pending);
+            self.peers.handle_datagram(self.now(), &self.buffer[..length], &mut self.pending);
         }
     }
 
@@ -155,20 +156,20 @@
 
 fn handle_output(peer_socket: &PeerSocket, output: Output, on_node_count: &impl Fn(u32)) {
     match output {
-        Output::Count(nodes) => {
-            info!(target: "peers", nodes, "reliable node count changed");
+        Output::EffectiveNodes(nodes) => {
+            info!(target: "peers", nodes, "effective node count changed");
             on_node_count(nodes);
         }
-        Output::StatusChanged { peer, status: standing } => {
+        Output::StatusChanged { peer, status } => {
             let (name, address) = (peer.name.as_str(), peer.address);
-            match standing {
+            match status {
                 PeerStatus::Present => info!(target: "peers", name, %address, "a peer is present"),
                 PeerStatus::Suspected => info!(target: "peers", name, %address, "a peer is suspected"),
                 PeerStatus::Left => info!(target: "peers", name, %address, "a peer has left"),
                 PeerStatus::Lost => warn!(target: "peers", name, %address, "a peer is lost"),
             }
         }
-        Output::Agreement(agreement) => {
+        Output::AgreementChanged(agreement) => {
             let nodes = peer_socket.peers.view(peer_socket.now()).nodes;
             match agreement {
                 Agreement::Agreed => info!(target: "peers", nodes, "views agree"),
@@ -180,11 +181,11 @@
                 }
             }
         }
-        Output::NameConflict { other: by, yields } => {
-            let address = by.address;
+        Output::NameConflict { other, yields } => {
+            let address = other.address;
             error!(target: "peers", %address, yields, "another process claims this node's name");
         }
-        Output::CameBack => warn!(target: "peers", "peers had declared this node lost; it has rejoined"),
+        Output::Rejoined => warn!(target: "peers", "peers had declared this node lost; it has rejoined"),
         Output::Dissemination(output) => log_dissemination(&output),
         Output::Send { .. } => {}
     }
