--- a/src/peers/dissemination/acknowledgement.rs
+++ b/src/peers/dissemination/acknowledgement.rs
@@ -1,6 +1,7 @@
-//! Acknowledgements gathered up the tree. Each node reports to the node above it what its whole branch has applied: the
-//! sequence that all nodes of a set have, and the set as a count and a sum of hashes. Sets of different branches don't
-//! meet, so they add up; a publisher says "applied by all" only where the sum is that of the members it sees as present.
+//! Acknowledgements, aggregated up the tree. Each node reports to its parent what its whole subtree has applied: the
+//! sequence that every node of a set has reached, and the set as a count and a sum of hashes. Sets of different
+//! subtrees are disjoint, so their counts and sums add up. A publisher reports an entry as applied by all only if the
+//! sum equals that of the members it sees as present.
 
 use super::super::Micros;
 use super::message::{Channel, LaggingNode, Refusal, Report};
@@ -8,92 +9,93 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// A report counts for so long. It is repeated every second; two may be lost.
-pub const FRESH: Micros = 3_500_000;
-/// Nodes that are named in one report.
-const MOST_NAMED: usize = 8;
-/// Refusals that are named in one report.
-const MOST_REFUSED: usize = 4;
-/// The longest reason that is passed on, in bytes.
-pub const LONGEST_REASON: usize = 80;
-/// Reports that are held for one line: more than a node has children, and the children of some that are gone.
-const MOST_HELD: usize = 256;
-/// Lines that are held.
-const MOST_LINES: usize = 64;
+/// Time for which a report counts. Reports are repeated every second, so two may be lost.
+pub const REPORT_TTL: Micros = 3_500_000;
+/// Limit on lagging nodes listed in one report.
+const MAX_LAGGING_PER_REPORT: usize = 8;
+/// Limit on refusals listed in one report.
+const MAX_REFUSALS_PER_REPORT: usize = 4;
+/// Longest reason that is forwarded, in bytes.
+pub const MAX_REASON_BYTES: usize = 80;
+/// Limit on reports held for one channel: more than a node has children, plus the children of removed nodes.
+const MAX_REPORTS_PER_CHANNEL: usize = 256;
+/// Limit on channels for which reports are held.
+const MAX_CHANNELS: usize = 64;
 
-/// Whose line.
+/// Identifies a channel of a publisher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChannelKey {
-    /// The publisher's key.
+    /// Key of the publisher.
     pub publisher: u64,
-    /// Its log or one of its states.
+    /// The publisher's log, or one of its states.
     pub channel: Channel,
 }
 
-/// What this node has applied itself.
+/// What this node itself has applied of a channel.
 #[derive(Clone, Debug)]
 pub struct OwnProgress {
     /// The epoch.
     pub epoch: u64,
-    /// The sequence.
+    /// Sequence of the last entry applied, or the version.
     pub through: u64,
-    /// Why it refused the version `through`, if it did.
+    /// Reason for refusing the version `through`, if it was refused.
     pub refused: Option<String>,
 }
 
 #[derive(Clone, Debug)]
 struct HeldReport {
     report: Report,
-    at: Micros,
+    received_at: Micros,
 }
 
-/// The reports of the nodes below.
+/// The latest reports received from nodes below this one.
 #[derive(Clone, Debug, Default)]
 pub struct Reports(BTreeMap<ChannelKey, HashMap<SocketAddr, HeldReport>>);
 
 impl Reports {
-    /// Takes a report in; whether there was room.
+    /// Stores a report. Returns false if a limit was reached.
     pub fn insert(&mut self, now: Micros, from: SocketAddr, report: Report) -> bool {
         let key = ChannelKey { publisher: report.publisher, channel: report.channel };
-        if self.0.len() >= MOST_LINES && !self.0.contains_key(&key) {
+        if self.0.len() >= MAX_CHANNELS && !self.0.contains_key(&key) {
             return false;
         }
         let held = self.0.entry(key).or_default();
-        if held.len() >= MOST_HELD && !held.contains_key(&from) {
-            held.retain(|_, held| now < held.at + FRESH);
+        if held.len() >= MAX_REPORTS_PER_CHANNEL && !held.contains_key(&from) {
+            held.retain(|_, held| now < held.received_at + REPORT_TTL);
         }
-        let room = held.len() < MOST_HELD || held.contains_key(&from);
-        if room {
-            held.insert(from, HeldReport { report, at: now });
+        let accepted = held.len() < MAX_REPORTS_PER_CHANNEL || held.contains_key(&from);
+        if accepted {
+            held.insert(from, HeldReport { report, received_at: now });
         }
-        room
+        accepted
     }
 
-    /// What a node last reported: epoch, sequence and set.
-    pub fn through(&self, key: ChannelKey, from: SocketAddr) -> Option<(u64, u64, u64)> {
+    /// Epoch, sequence and set hash of a node's last report.
+    pub fn last_reported(&self, key: ChannelKey, from: SocketAddr) -> Option<(u64, u64, u64)> {
         let held = self.0.get(&key)?.get(&from)?;
         Some((held.report.epoch, held.report.through, held.report.set_hash))
     }
 
-    /// Forgets what came from a node that is gone.
-    pub fn forget(&mut self, node: SocketAddr) {
+    /// Drops the reports of a node that was removed.
+    pub fn remove_node(&mut self, node: SocketAddr) {
         for held in self.0.values_mut() {
             held.remove(&node);
         }
         self.0.retain(|_, held| !held.is_empty());
     }
 
-    /// What this node and all below it have applied. Branches that have not got to `needed` are left out and named.
+    /// What this node and all nodes below it have applied. Subtrees that have not reached `required` are left out and
+    /// listed as lagging.
     pub fn gather(
         &self,
         now: Micros,
         key: ChannelKey,
         own: &OwnProgress,
-        needed: u64,
-        branch: TreeView,
+        required: u64,
+        tree_view: TreeView,
     ) -> Report {
-        let me = branch.members.get(branch.own_index);
-        let usable = self.usable(now, key, own.epoch, needed, branch);
+        let me = tree_view.members.get(tree_view.own_index);
+        let usable = self.usable(now, key, own.epoch, required, tree_view);
         let mut gathered = Report {
             publisher: key.publisher,
             channel: key.channel,
@@ -110,46 +112,48 @@
             gathered.refusals.push(Refusal { key: me.key, version: own.through, reason: reason.clone() });
             gathered.refusal_count = 1;
         }
-        for &child in branch.tree.children(branch.own_index) {
-            add_branch(&mut gathered, child, branch, &usable);
+        for &child in tree_view.tree.children(tree_view.own_index) {
+            add_subtree(&mut gathered, child, tree_view, &usable);
         }
         gathered
     }
 
-    /// Reports that count: in time, of this epoch, and far enough. By place.
+    /// The reports that count, by index in the tree: recent enough, of this epoch, and at `required` or beyond.
     fn usable(
         &self,
         now: Micros,
         key: ChannelKey,
         epoch: u64,
-        needed: u64,
-        branch: TreeView,
+        required: u64,
+        tree_view: TreeView,
     ) -> HashMap<usize, &Report> {
         let Some(held) = self.0.get(&key) else { return HashMap::new() };
         let counts = |held: &HeldReport| {
-            now < held.at + FRESH && held.report.epoch == epoch && held.report.through >= needed
+            now < held.received_at + REPORT_TTL
+                && held.report.epoch == epoch
+                && held.report.through >= required
         };
-        let found = held.iter().filter(|(_, held)| counts(held));
-        found.filter_map(|(from, held)| Some((branch.index_of(*from)?, &held.report))).collect()
+        let counted = held.iter().filter(|(_, held)| counts(held));
+        counted.filter_map(|(from, held)| Some((tree_view.index_of(*from)?, &held.report))).collect()
     }
 }
 
-/// Adds one branch: by its first node's report, or else by those of the nodes below it.
-fn add_branch(gathered: &mut Report, place: usize, branch: TreeView, usable: &HashMap<usize, &Report>) {
-    let tree = branch.tree;
-    if let Some(report) = usable.get(&place) {
+/// Adds one subtree: by the report of its top node, or else by the reports of nodes below it.
+fn add_subtree(gathered: &mut Report, index: usize, tree_view: TreeView, usable: &HashMap<usize, &Report>) {
+    let tree = tree_view.tree;
+    if let Some(report) = usable.get(&index) {
         add_report(gathered, report);
         return;
     }
-    let Some(member) = branch.members.get(place) else { return };
-    let is_below = |from: &usize| tree.ancestors(*from).any(|above| above == place);
-    let some_below = usable.keys().any(is_below);
-    name(
+    let Some(member) = tree_view.members.get(index) else { return };
+    let is_below = |from: &usize| tree.ancestors(*from).any(|ancestor| ancestor == index);
+    let any_below = usable.keys().any(is_below);
+    add_lagging(
         gathered,
-        LaggingNode { key: member.key, whole_subtree: !some_below && !tree.children(place).is_empty() },
+        LaggingNode { key: member.key, whole_subtree: !any_below && !tree.children(index).is_empty() },
     );
-    if some_below {
-        tree.children(place).iter().for_each(|&child| add_branch(gathered, child, branch, usable));
+    if any_below {
+        tree.children(index).iter().for_each(|&child| add_subtree(gathered, child, tree_view, usable));
     }
 }
 
@@ -164,16 +168,16 @@
     gathered.nodes = gathered.nodes.saturating_add(report.nodes);
     gathered.set_hash = gathered.set_hash.wrapping_add(report.set_hash);
     gathered.lagging_truncated |= report.lagging_truncated;
-    report.lagging.iter().for_each(|lagging| name(gathered, *lagging));
+    report.lagging.iter().for_each(|lagging| add_lagging(gathered, *lagging));
     for refusal in &report.refusals {
-        if gathered.refusals.len() < MOST_REFUSED {
+        if gathered.refusals.len() < MAX_REFUSALS_PER_REPORT {
             gathered.refusals.push(refusal.clone());
         }
     }
 }
 
-fn name(gathered: &mut Report, lagging: LaggingNode) {
-    if gathered.lagging.len() < MOST_NAMED {
+fn add_lagging(gathered: &mut Report, lagging: LaggingNode) {
+    if gathered.lagging.len() < MAX_LAGGING_PER_REPORT {
         gathered.lagging.push(lagging);
     } else {
         gathered.lagging_truncated = true;
--- a/src/peers/dissemination/config.rs
+++ b/src/peers/dissemination/config.rs
@@ -1,22 +1,22 @@
-//! How a node takes part.
+//! Configuration of a node's part in dissemination.
 
 use std::time::Duration;
 
-/// How a node takes part in dissemination.
+/// Configuration of a node's part in dissemination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DisseminationConfig {
-    /// Messages of another cluster are dropped.
+    /// Name of the cluster. Messages of other clusters are dropped.
     pub cluster: String,
-    /// Datagrams are no longer than this.
+    /// Largest datagram that is sent or accepted, in bytes.
     pub max_datagram_bytes: usize,
-    /// What each datagram costs beside its own bytes, where it is sent in an envelope.
+    /// Bytes that the enclosing envelope adds to each datagram; they are charged to the byte budget.
     pub overhead_bytes: usize,
-    /// What a node may send for control in a second, membership included. Who drives the core keeps to it.
+    /// Bytes of control traffic that a node may send per second, membership included. The caller enforces the limit.
     pub control_bytes_per_second: u32,
-    /// A publisher is told who has not applied an entry after this time. Entries are applied within 2.4 s; a node that
-    /// lags is named by the one above it after 4 s, and that word takes up to 2 s more up the tree.
+    /// After this time the publisher is notified which nodes have not applied an entry. Entries are applied within 2.4 s;
+    /// a lagging node is reported by its parent after 4 s, and that report takes up to 2 s more to reach the root.
     pub acknowledge_timeout: Duration,
-    /// A log that has been behind for so long is told to be stale, and takes a snapshot where entries are gone.
+    /// A log that has been behind for this long is reported as stale, and skips entries that no node retains any more.
     pub stale_after: Duration,
 }
 
--- a/src/peers/dissemination/log.rs
+++ b/src/peers/dissemination/log.rs
@@ -1,177 +1,178 @@
-//! One publisher's log as one node holds it: what was delivered, what waits for an entry before it, and what is kept for
-//! others.
+//! One publisher's log as one node holds it: entries that were delivered, entries that wait for an earlier one, and
+//! entries retained to repair losses at other nodes.
 
 use super::super::Micros;
 use super::message::{Entry, LogPosition};
 use std::collections::BTreeMap;
 
-/// Entries that are kept for others. At 6 a second that is 5 min 41 s: longer than the 3 minutes that a region may be cut
-/// off (1,080 entries), so that such a region is brought up to date by the log itself.
-pub const RETAINED: usize = 2_048;
-/// Their bytes. 2,048 entries of 100 bytes take 260 KB; of entries of 1 KiB some 500 are kept.
-pub const RETAINED_BYTES: usize = 512 * 1_024;
-/// Entries that wait for one before them reach so far ahead at the most; later ones are asked for again in their turn.
-const WINDOW: u64 = 1_024;
-/// An entry that came so long ago is likely to have been asked for again where it was lost.
-const RECENT: Micros = 500_000;
-/// Ranges that a position names.
-const MOST_RANGES: usize = 8;
-/// Epochs whose beginning is remembered.
-const MOST_EPOCHS: usize = 8;
-/// What holding an entry takes beside its payload.
-const HELD_BYTES: usize = 96;
-
-/// An entry and when it came.
+/// Entries retained for other nodes. At 6 a second that is 5 min 41 s, longer than the 3 minutes for which a region may
+/// be cut off (1,080 entries), so the log itself brings such a region up to date.
+pub const MAX_RETAINED_ENTRIES: usize = 2_048;
+/// Bytes retained. 2,048 entries of 100 bytes take 260 KB; of entries of 1 KiB some 500 are retained.
+pub const MAX_RETAINED_BYTES: usize = 512 * 1_024;
+/// How far beyond the last delivered entry an entry may be stored. Later ones are dropped and requested again in their
+/// turn.
+const REORDER_WINDOW: u64 = 1_024;
+/// An entry received longer ago than this has probably been requested again wherever it was lost.
+const RECENT_WINDOW: Micros = 500_000;
+/// Limit on ranges in a position.
+const MAX_RANGES: usize = 8;
+/// Number of epochs whose first sequence is remembered.
+const MAX_EPOCHS: usize = 8;
+/// Memory that a held entry takes beside its payload and extension.
+const ENTRY_OVERHEAD_BYTES: usize = 96;
+
+/// An entry and its time of arrival.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct HeldEntry {
     /// The entry.
     pub entry: Entry,
-    /// When it came.
-    pub at: Micros,
+    /// When it was received.
+    pub received_at: Micros,
 }
 
-/// What became of an entry that came.
+/// Result of inserting an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Inserted {
-    /// It is held.
+pub enum InsertOutcome {
+    /// The entry was stored.
     New,
-    /// It was here already.
+    /// The entry was already delivered or stored.
     Duplicate,
-    /// It belongs to an epoch that was over at that place.
+    /// A later epoch has superseded the entry's epoch at this sequence.
     Fenced,
-    /// It lies too far ahead.
-    TooFar,
+    /// The entry is too far beyond the last one delivered, or the log is full.
+    TooFarAhead,
 }
 
 /// One publisher's log.
 #[derive(Clone, Debug)]
 pub struct Log {
-    /// The epochs that are known, with the first sequence of each; the last is in force.
+    /// The known epochs, each with its first sequence; the last one is current.
     epochs: Vec<(u64, u64)>,
-    /// All up to this one were delivered, or left out with a word.
+    /// All entries up to this sequence were delivered, or skipped with a notification.
     pub delivered: u64,
-    /// Whether `delivered` is known yet: a node that joins is told where to begin.
-    pub based: bool,
-    entries: BTreeMap<u64, Held>,
+    /// Whether `delivered` is valid yet. A joining node receives its starting position from others.
+    pub base_known: bool,
+    entries: BTreeMap<u64, HeldEntry>,
     bytes: usize,
-    /// The highest sequence that is known to exist.
+    /// Highest sequence that is known to exist.
     pub highest: u64,
-    /// The last one that was given up for the retention's sake.
-    evicted: u64,
-    /// When `delivered` last moved, or nothing was missing.
+    /// Sequence of the last entry that was evicted.
+    evicted_through: u64,
+    /// When `delivered` or the epoch last changed.
     pub progressed_at: Micros,
-    /// Since when entries are known of that were not delivered.
+    /// Since when it is known that entries exist that were not delivered.
     pub behind_since: Option<Micros>,
-    /// Whether the subscriber was told that the log is stale.
+    /// Whether the subscriber was notified that the log is stale.
     pub stale: bool,
 }
 
 impl Log {
-    /// A log that begins behind `delivered`.
-    pub fn new(now: Micros, epoch: u64, first: u64, delivered: u64, based: bool) -> Self {
+    /// A log that begins after `delivered`.
+    pub fn new(now: Micros, epoch: u64, first: u64, delivered: u64, base_known: bool) -> Self {
         Self {
             epochs: vec![(epoch, first)],
             delivered,
-            based,
+            base_known,
             entries: BTreeMap::new(),
             bytes: 0,
             highest: delivered,
-            evicted: 0,
+            evicted_through: 0,
             progressed_at: now,
             behind_since: None,
             stale: false,
         }
     }
 
-    /// The epoch in force.
+    /// The current epoch.
     pub fn epoch(&self) -> u64 {
         self.epochs.last().map_or(0, |epoch| epoch.0)
     }
 
-    /// Its first sequence.
+    /// First sequence of the current epoch.
     pub fn first(&self) -> u64 {
         self.epochs.last().map_or(1, |epoch| epoch.1)
     }
 
-    /// Goes over to a later epoch: what an earlier one issued from its beginning on is void.
-    pub fn adopt(&mut self, now: Micros, epoch: u64, first: u64) {
+    /// Switches to a later epoch. Entries of earlier epochs from its first sequence on become void.
+    pub fn adopt_epoch(&mut self, now: Micros, epoch: u64, first: u64) {
         if epoch <= self.epoch() {
             return;
         }
         self.epochs.retain(|known| known.1 < first);
         self.epochs.push((epoch, first));
-        if self.epochs.len() > MOST_EPOCHS {
+        if self.epochs.len() > MAX_EPOCHS {
             self.epochs.remove(0);
         }
         let void = self.entries.split_off(&first);
         self.bytes -= void.values().map(bytes).sum::<usize>();
         self.delivered = self.delivered.min(first - 1);
-        self.evicted = self.evicted.min(first - 1);
+        self.evicted_through = self.evicted_through.min(first - 1);
         self.highest = first - 1;
         self.progressed_at = now;
         self.behind_since = (self.highest > self.delivered).then_some(now);
     }
 
-    /// Takes an entry in.
-    pub fn insert(&mut self, now: Micros, entry: Entry) -> Inserted {
+    /// Stores an entry unless it is a duplicate, superseded or too far ahead.
+    pub fn insert(&mut self, now: Micros, entry: Entry) -> InsertOutcome {
         let sequence = entry.sequence;
         let issued_by = self.epochs.iter().rev().find(|epoch| epoch.1 <= sequence);
         match issued_by {
-            Some(epoch) if epoch.0 != entry.epoch => return Inserted::Fenced,
-            None if entry.epoch >= self.epoch() => return Inserted::Fenced,
+            Some(epoch) if epoch.0 != entry.epoch => return InsertOutcome::Fenced,
+            None if entry.epoch >= self.epoch() => return InsertOutcome::Fenced,
             _ => {}
         }
-        self.knows_of(now, sequence);
-        if self.based && sequence <= self.delivered || self.entries.contains_key(&sequence) {
-            return Inserted::Duplicate;
+        self.observe_sequence(now, sequence);
+        if self.base_known && sequence <= self.delivered || self.entries.contains_key(&sequence) {
+            return InsertOutcome::Duplicate;
         }
-        let crowded = self.bytes > RETAINED_BYTES && !self.evictable();
+        let over_capacity = self.bytes > MAX_RETAINED_BYTES && !self.evictable();
         let from = self.entries.keys().next().copied().unwrap_or(sequence);
-        let base = if self.based { self.delivered } else { from };
-        if sequence > base + WINDOW || crowded && sequence != self.delivered + 1 {
-            return Inserted::TooFar;
+        let base = if self.base_known { self.delivered } else { from };
+        if sequence > base + REORDER_WINDOW || over_capacity && sequence != self.delivered + 1 {
+            return InsertOutcome::TooFarAhead;
         }
-        let held = Held { entry, at: now };
+        let held = HeldEntry { entry, received_at: now };
         self.bytes += bytes(&held);
         self.entries.insert(sequence, held);
-        Inserted::New
+        InsertOutcome::New
     }
 
-    /// Somebody has entries up to this one.
-    pub fn knows_of(&mut self, now: Micros, sequence: u64) {
+    /// Records that another node has entries up to this sequence.
+    pub fn observe_sequence(&mut self, now: Micros, sequence: u64) {
         self.highest = self.highest.max(sequence);
         if self.highest > self.delivered {
             self.behind_since.get_or_insert(now);
         }
     }
 
-    /// The next entry in order, where it is here.
+    /// The next entry in order, if it is held.
     pub fn deliver(&mut self, now: Micros) -> Option<Entry> {
-        if !self.based {
+        if !self.base_known {
             return None;
         }
         let next = self.entries.get(&(self.delivered + 1))?.entry.clone();
-        self.moved_to(now, next.sequence);
+        self.advance_to(now, next.sequence);
         self.evict();
         Some(next)
     }
 
-    /// Leaves out all up to `through`.
+    /// Skips all entries up to `through`.
     pub fn skip(&mut self, now: Micros, through: u64) {
-        self.based = true;
+        self.base_known = true;
         self.highest = self.highest.max(through);
-        self.moved_to(now, through);
-        // Those that it has never delivered it doesn't pass on either.
+        self.advance_to(now, through);
+        // Entries that were never delivered here are not forwarded either.
         let kept = self.entries.split_off(&(through + 1));
         self.bytes = kept.values().map(bytes).sum();
         self.entries = kept;
     }
 
-    /// What this node holds, as others are told.
+    /// What this node holds, for a digest.
     pub fn position(&self, publisher: u64) -> LogPosition {
         let mut held_ranges: Vec<(u64, u64)> = Vec::new();
         for &sequence in self.entries.range(self.delivered + 1..).map(|(sequence, _)| sequence) {
-            let full = held_ranges.len() >= MOST_RANGES;
+            let full = held_ranges.len() >= MAX_RANGES;
             match held_ranges.last_mut() {
                 Some(range) if range.1 + 1 == sequence => range.1 = sequence,
                 _ if full => break,
@@ -182,45 +183,45 @@
         LogPosition { publisher, epoch, first, delivered: self.delivered, held_ranges, stale: self.stale }
     }
 
-    /// One entry.
-    pub fn get(&self, sequence: u64) -> Option<&Held> {
+    /// The entry with this sequence.
+    pub fn get(&self, sequence: u64) -> Option<&HeldEntry> {
         self.entries.get(&sequence)
     }
 
-    /// The entry before that sequence, where it came not long ago.
+    /// The entry before this sequence, if it was received recently.
     pub fn recent_before(&self, now: Micros, sequence: u64) -> Option<&Entry> {
         let held = self.entries.get(&sequence.checked_sub(1)?)?;
-        (now < held.at + RECENT).then_some(&held.entry)
+        (now < held.received_at + RECENT_WINDOW).then_some(&held.entry)
     }
 
-    /// What somebody at that position lacks and this node holds, in order.
-    pub fn lacked_at<'a>(&'a self, theirs: &'a LogPosition) -> impl Iterator<Item = &'a Held> {
+    /// Entries held here that a node at that position is missing, in order.
+    pub fn missing_at<'a>(&'a self, theirs: &'a LogPosition) -> impl Iterator<Item = &'a HeldEntry> {
         let holds =
             |sequence: u64| theirs.held_ranges.iter().any(|range| (range.0..=range.1).contains(&sequence));
         self.entries
-            .range(theirs.delivered + 1..=theirs.delivered.saturating_add(WINDOW))
+            .range(theirs.delivered + 1..=theirs.delivered.saturating_add(REORDER_WINDOW))
             .filter(move |(sequence, _)| !holds(**sequence))
             .map(|(_, held)| held)
     }
 
-    /// Where somebody at that position has to go on by a snapshot: the last entry that is left out.
-    pub fn snapshot_for(&self, theirs: &LogPosition) -> Option<u64> {
+    /// If a node at that position has to skip entries: the last one to skip.
+    pub fn skip_target(&self, theirs: &LogPosition) -> Option<u64> {
         let oldest = self.entries.keys().next().copied().unwrap_or(self.delivered + 1);
-        let abandoned = self.evicted > theirs.delivered || theirs.stale && self.based;
+        let abandoned = self.evicted_through > theirs.delivered || theirs.stale && self.base_known;
         (abandoned && oldest > theirs.delivered + 1).then_some(oldest - 1)
     }
 
-    /// Bytes that are held.
+    /// Bytes held.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Entries that are held.
+    /// Number of entries held.
     pub fn entries(&self) -> usize {
         self.entries.len()
     }
 
-    fn moved_to(&mut self, now: Micros, sequence: u64) {
+    fn advance_to(&mut self, now: Micros, sequence: u64) {
         self.delivered = sequence;
         self.progressed_at = now;
         if self.highest <= sequence {
@@ -234,14 +235,16 @@
     }
 
     fn evict(&mut self) {
-        while (self.entries.len() > RETAINED || self.bytes > RETAINED_BYTES) && self.evictable() {
+        while (self.entries.len() > MAX_RETAINED_ENTRIES || self.bytes > MAX_RETAINED_BYTES)
+            && self.evictable()
+        {
             let Some((sequence, held)) = self.entries.pop_first() else { return };
             self.bytes -= bytes(&held);
-            self.evicted = sequence;
+            self.evicted_through = sequence;
         }
     }
 }
 
-fn bytes(held: &Held) -> usize {
-    HELD_BYTES + held.entry.payload.len() + held.entry.extension.len()
+fn bytes(held: &HeldEntry) -> usize {
+    ENTRY_OVERHEAD_BYTES + held.entry.payload.len() + held.entry.extension.len()
 }
--- a/src/peers/dissemination/message.rs
+++ b/src/peers/dissemination/message.rs
@@ -1,45 +1,45 @@
-//! What nodes send each other for dissemination.
+//! Messages between nodes. They are encoded with `postcard`, so the order of fields and variants is the wire format.
 
 use serde::{Deserialize, Serialize};
 
-/// The version of these messages. A node drops and counts what it can't read.
+/// Version of the message format. A node drops and counts messages of a later version.
 pub const SCHEMA: u16 = 1;
-/// The largest payload of an entry.
+/// Largest payload of an entry.
 pub const MAX_PAYLOAD_BYTES: usize = 1_024;
-/// The most that a later version may add to an entry: it is carried on as it is.
+/// Largest extension that a later version may add to an entry. Nodes forward it unchanged.
 pub const MAX_EXTENSION_BYTES: usize = 32;
 
-/// One entry of a log, or one version of a state. What identifies it is publisher, epoch and sequence.
+/// One entry of a log, or one version of a state. Publisher, epoch and sequence identify it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The epoch of its publisher that issued it.
+    /// The publisher's epoch in which it was issued.
     pub epoch: u64,
-    /// Its place in the log, or the version of the state.
+    /// Sequence number in the log, or version of the state.
     pub sequence: u64,
-    /// What it is about; of state, what it is a version of.
+    /// Application-defined kind. Each kind of state has its own versions.
     pub kind: u16,
-    /// How its payload is written. Nodes carry all; subscribers judge it.
+    /// Format of the payload. Nodes forward entries of any schema; subscribers interpret it.
     pub schema: u16,
-    /// What it says.
+    /// Application data.
     pub payload: Vec<u8>,
-    /// What later versions add.
+    /// Data added by later versions of this program.
     pub extension: Vec<u8>,
 }
 
 impl Entry {
-    /// Whether it is no larger than entries may be.
+    /// Whether payload and extension are within their size limits.
     pub fn fits(&self) -> bool {
         self.payload.len() <= MAX_PAYLOAD_BYTES && self.extension.len() <= MAX_EXTENSION_BYTES
     }
 
-    /// Bytes on the wire, at the most.
+    /// Upper bound of the encoded size in bytes.
     pub fn size(&self) -> usize {
         const FIELDS: usize = 3 * 5 + 2 * 3 + 2 * 2;
         FIELDS + self.payload.len() + self.extension.len()
     }
 }
 
-/// What belongs to one publisher and is acknowledged together.
+/// A part of a publisher's output that is acknowledged separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Channel {
     /// Its log.
@@ -51,145 +51,146 @@
 /// How much of a log a node holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The publisher's key.
+    /// Key of the publisher.
     pub publisher: u64,
-    /// The epoch that is followed.
+    /// The epoch that the node follows.
     pub epoch: u64,
-    /// The first sequence of this epoch.
+    /// First sequence of this epoch.
     pub first: u64,
-    /// All up to this one were delivered.
+    /// All entries up to this sequence were delivered.
     pub delivered: u64,
-    /// Ranges held behind that, both ends included.
+    /// Inclusive ranges of entries that are held beyond `delivered`.
     pub held_ranges: Vec<(u64, u64)>,
-    /// It has been behind for so long that it takes a snapshot where an entry is no longer held.
+    /// The log has been behind for so long that the node accepts a [`Message::Skip`] over entries no longer retained.
     pub stale: bool,
 }
 
 /// Which version of a state a node holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatePosition {
-    /// The publisher's key.
+    /// Key of the publisher.
     pub publisher: u64,
-    /// What it is a version of.
+    /// Kind of the state.
     pub kind: u16,
-    /// The epoch of the version held.
+    /// Epoch of the version held.
     pub epoch: u64,
     /// The version held.
     pub version: u64,
 }
 
-/// A node that lacks entries, or a whole branch of the tree.
+/// A node that has not applied something, or a whole subtree of which nothing is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LaggingNode {
-    /// The node's key.
+    /// Key of the node.
     pub key: u64,
-    /// Nothing is known of all that is below it either.
+    /// Nothing is known of any node below it either.
     pub whole_subtree: bool,
 }
 
-/// A node that refused a version.
+/// A node's refusal of a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The node's key.
+    /// Key of the node.
     pub key: u64,
-    /// The version.
+    /// The refused version.
     pub version: u64,
-    /// Why, in the subscriber's words.
+    /// Reason given by the subscriber.
     pub reason: String,
 }
 
-/// What a branch of the tree has applied: all nodes of the set have all of the line up to `through`.
+/// What a subtree has applied: every node of the set has applied everything up to `through`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The publisher's key.
+    /// Key of the publisher.
     pub publisher: u64,
-    /// Which line of it.
+    /// The publisher's log, or one of its states.
     pub channel: Channel,
     /// The epoch.
     pub epoch: u64,
-    /// The sequence.
+    /// Sequence of the entry, or the version.
     pub through: u64,
-    /// How many nodes are in the set.
+    /// Number of nodes in the set.
     pub nodes: u32,
-    /// The sum over their lives.
+    /// Sum of the hashes of the nodes' incarnations: see [`set_hash`](super::overlay::set_hash).
     pub set_hash: u64,
-    /// Nodes of the branch that are not in the set, as far as they fit.
+    /// Nodes of the subtree that are not in the set, up to a limit.
     pub lagging: Vec<LaggingNode>,
-    /// Whether some did not fit.
+    /// Whether there are more lagging nodes than are listed.
     pub lagging_truncated: bool,
-    /// Who refused the version `through`, as far as they fit.
+    /// Refusals of the version `through`, up to a limit.
     pub refusals: Vec<Refusal>,
-    /// How many refused it.
+    /// Number of nodes that refused it.
     pub refusal_count: u32,
 }
 
-/// One message.
+/// A message between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Entries of a log: pushed along the tree, or sent again.
+    /// Entries of a log: pushed along the tree, or sent again to repair a loss.
     Entries {
-        /// The publisher's key.
+        /// Key of the publisher.
         publisher: u64,
         /// The epoch that the sender follows.
         epoch: u64,
-        /// The first sequence of it.
+        /// First sequence of this epoch.
         first: u64,
         /// The entries.
         entries: Vec<Entry>,
-        /// Which versions of the publisher's states the sender holds.
+        /// Versions of the publisher's states that the sender holds.
         states: Vec<StatePosition>,
     },
-    /// A version of a state, whole.
+    /// A complete version of a state.
     State {
-        /// The publisher's key.
+        /// Key of the publisher.
         publisher: u64,
         /// The version.
         entry: Entry,
     },
-    /// What the sender holds: a digest. Who has more sends it.
+    /// A digest of what the sender holds. The receiver sends what the sender is missing.
     Digest {
         /// Logs.
         logs: Vec<LogPosition>,
         /// States.
         states: Vec<StatePosition>,
-        /// All that the sender knows of is here.
+        /// Whether the digest covers everything that the sender knows of.
         complete: bool,
-        /// How many hops of the tree an entry takes from the receiver to the sender, as far as known: what is younger than
-        /// that is on its way. None where nothing comes from the sender's parent, and all is wanted.
+        /// Hops of the tree from the receiver to the sender, as far as known. Entries too recent to have passed that many
+        /// hops are still on their way and need not be sent. Zero if the sender gets nothing from its parent and wants
+        /// everything.
         hops: u8,
-        /// The sender has just started: it asks for a [`Message::JoinResponse`].
+        /// The sender has just started and asks for a [`Message::JoinResponse`].
         joining: bool,
     },
-    /// To a node that has just started: where each log stands.
+    /// Response to a node that has just started: the current position of each log.
     JoinResponse {
-        /// The sender's positions.
+        /// Positions of the logs at the sender.
         logs: Vec<LogPosition>,
     },
-    /// A snapshot of a log: what came up to `through` is no longer held.
+    /// Entries of a log up to `through` are no longer retained; the receiver continues after them.
     Skip {
-        /// The publisher's key.
+        /// Key of the publisher.
         publisher: u64,
         /// The epoch that the sender follows.
         epoch: u64,
-        /// The first sequence of it.
+        /// First sequence of this epoch.
         first: u64,
-        /// The last one that is left out.
+        /// Sequence of the last entry that is skipped.
         through: u64,
     },
-    /// Acknowledgements on their way up the tree.
+    /// Acknowledgements, sent up the tree.
     Reports(Vec<Report>),
-    /// Reports of this publisher's lines have come.
+    /// Confirms that reports on this publisher's channels were received.
     Confirm {
-        /// The publisher's key.
+        /// Key of the publisher.
         publisher: u64,
     },
-    /// To whoever goes by an earlier epoch: another one is in force.
+    /// Response to a sender that follows an earlier epoch: a later one is current.
     Fenced {
-        /// The publisher's key.
+        /// Key of the publisher.
         publisher: u64,
-        /// The epoch in force.
+        /// The current epoch.
         epoch: u64,
-        /// The first sequence of it.
+        /// First sequence of this epoch.
         first: u64,
     },
 }
@@ -207,32 +208,32 @@
     cluster: u32,
 }
 
-/// Why a datagram can't be read.
+/// Why a datagram could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is longer than datagrams may be.
-    #[error("too long")]
+    /// It is over the size limit.
+    #[error("datagram exceeds the size limit")]
     Oversized,
-    /// It is not a message.
-    #[error("not a message")]
+    /// It is not a valid message.
+    #[error("datagram is not a valid message")]
     Malformed,
-    /// It is of another cluster.
-    #[error("of another cluster")]
+    /// It belongs to another cluster.
+    #[error("datagram belongs to another cluster")]
     Foreign,
-    /// It is of a later schema.
-    #[error("of a later schema")]
+    /// It has a later schema.
+    #[error("datagram has a later schema")]
     LaterSchema,
 }
 
-/// Writes a message.
+/// Encodes a message. `cluster`: hash of the cluster's name.
 pub fn encode(cluster: u32, message: &Message) -> Vec<u8> {
-    // A message of owned fields can't fail to be written.
+    // Encoding a message of owned fields cannot fail.
     postcard::to_stdvec(&OutgoingPacket { schema: SCHEMA, cluster, message }).unwrap_or_default()
 }
 
-/// Reads a message.
-pub fn decode(cluster: u32, largest: usize, data: &[u8]) -> Result<Message, DecodeError> {
-    if data.len() > largest {
+/// Decodes a datagram of at most `max_bytes` bytes. `cluster`: hash of the cluster's name.
+pub fn decode(cluster: u32, max_bytes: usize, data: &[u8]) -> Result<Message, DecodeError> {
+    if data.len() > max_bytes {
         return Err(DecodeError::Oversized);
     }
     let (header, rest) = postcard::take_from_bytes::<Header>(data).map_err(|_| DecodeError::Malformed)?;
--- a/src/peers/dissemination/output.rs
+++ b/src/peers/dissemination/output.rs
@@ -1,134 +1,135 @@
-//! What the core wants done, what it tells, and what it counts.
+//! Outputs of the dissemination core, and its counters.
 
 use super::super::Micros;
 use super::message::{Channel, Entry, Refusal};
 use std::net::SocketAddr;
 
-/// What dissemination wants done, or tells.
+/// An action for the caller to carry out, or an event for the subscriber or the publisher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DisseminationOutput {
     /// Send a datagram.
     Send {
-        /// To.
+        /// Destination.
         to: SocketAddr,
-        /// Its bytes.
+        /// The datagram.
         data: Vec<u8>,
     },
-    /// An entry for the subscriber: the next one of its publisher, in order, once.
+    /// Deliver an entry to the subscriber: each entry of a publisher comes once and in order.
     Deliver {
-        /// The publisher's key.
+        /// Key of the publisher.
         publisher: u64,
         /// The entry.
         entry: Entry,
     },
-    /// The subscriber gets none of this publisher's entries up to `through`: it joined later, or was away for longer
-    /// than they are kept.
+    /// The subscriber does not get this publisher's entries up to `through`: it joined later, or was unreachable for longer
+    /// than entries are retained.
     LogReset {
-        /// The publisher's key.
+        /// Key of the publisher.
         publisher: u64,
-        /// The last one that was delivered.
+        /// Sequence of the last entry that was delivered.
         after: u64,
-        /// The last one that is left out.
+        /// Sequence of the last entry that is skipped.
         through: u64,
     },
-    /// A publisher goes on under a later epoch, from `first`.
+    /// A publisher continues under a later epoch, from `first` on.
     EpochChanged {
-        /// The publisher's key.
+        /// Key of the publisher.
         publisher: u64,
-        /// The epoch.
+        /// The new epoch.
         epoch: u64,
-        /// The first sequence of it.
+        /// First sequence of the new epoch.
         first: u64,
     },
-    /// A version of a state has come. The subscriber answers by
+    /// A new version of a state was received. The subscriber accepts or refuses it by
     /// [`Dissemination::decide_state`](super::Dissemination::decide_state).
     StateOffered {
-        /// The publisher's key.
+        /// Key of the publisher.
         publisher: u64,
         /// The version.
         entry: Entry,
     },
-    /// A version of a state is in force.
+    /// The subscriber accepted a version of a state; it is now in force.
     StateApplied {
-        /// The publisher's key.
+        /// Key of the publisher.
         publisher: u64,
         /// The version.
         entry: Entry,
     },
-    /// To the publisher: nodes that refused a version.
+    /// To the publisher: a node refused a version.
     StateRefused {
-        /// The kind of the state.
+        /// Kind of the state.
         kind: u16,
-        /// Who, which version, why.
+        /// The node, the version and the reason.
         refusal: Refusal,
     },
-    /// To the publisher: all present nodes have applied this.
+    /// To the publisher: all present nodes have applied this entry or version.
     Acknowledged {
-        /// Its log or state.
+        /// The publisher's log, or one of its states.
         channel: Channel,
-        /// The entry or version.
+        /// Sequence of the entry, or the version.
         sequence: u64,
-        /// The time from publishing it to this word.
+        /// Time from publishing to this acknowledgement.
         elapsed: Micros,
-        /// How many nodes.
+        /// Number of nodes that have applied it.
         nodes: u32,
     },
-    /// To the publisher: within the bound not all present nodes have said that they applied this.
+    /// To the publisher: not all present nodes reported within the time limit that they have applied this entry or version.
     Unacknowledged {
-        /// Its log or state.
+        /// The publisher's log, or one of its states.
         channel: Channel,
-        /// The entry or version.
+        /// Sequence of the entry, or the version.
         sequence: u64,
-        /// How many nodes have said so.
+        /// Number of nodes that have applied it.
         nodes: u32,
-        /// Keys of those that have not, as far as they are named.
+        /// Keys of nodes that have not, up to a limit.
         lagging: Vec<u64>,
-        /// How many more there are.
+        /// Number of further nodes that have not.
         unlisted: u32,
     },
-    /// This node has been behind in a log for longer than the bound.
+    /// This node has been behind in a log for longer than [`stale_after`](super::DisseminationConfig::stale_after).
     Stale {
-        /// The publisher's key.
+        /// Key of the publisher.
         publisher: u64,
-        /// How many entries it lacks, as far as it knows.
+        /// Number of entries that are known to exist and were not delivered.
         behind: u64,
     },
-    /// To a publisher: another one goes on under this later epoch; it must not publish any more.
+    /// To a publisher: another process publishes under this later epoch, so this one must stop publishing.
     Fenced {
-        /// The epoch in force.
+        /// The current epoch.
         epoch: u64,
     },
 }
 
-/// What was dropped or given up, since the start.
+/// Counts of what was dropped, abandoned or repaired since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct DisseminationCounters {
-    /// Datagrams that are no messages.
+    /// Datagrams that could not be decoded.
     pub malformed: u64,
-    /// Datagrams or entries that are too long.
+    /// Datagrams or entries over the size limit.
     pub oversized: u64,
     /// Datagrams of another cluster.
     pub foreign: u64,
     /// Datagrams of a later schema.
     pub later_schema: u64,
-    /// Entries that came again.
+    /// Entries that were received again.
     pub duplicates: u64,
-    /// Entries of an epoch that is over.
+    /// Entries of an epoch that had ended.
     pub fenced: u64,
-    /// Entries too far ahead, or of publishers over the bound.
+    /// Entries too far ahead of the last one delivered, and messages of publishers beyond the limit.
     pub refused: u64,
-    /// Pushes, answers and reports that were given up because too much waited; what they held is asked for again.
+    /// Pushes, repairs and reports that were dropped because a queue was full or their receiver was removed. What was lost
+    /// is requested again.
     #[serde(rename = "given_up")]
     pub abandoned: u64,
     /// Entries that were sent again.
     pub repaired: u64,
-    /// The most datagrams' worth of messages that waited for the budget.
+    /// Largest number of items that were queued for lack of byte budget.
     #[serde(rename = "most_waiting")]
     pub max_queued: u64,
 }
 
 impl DisseminationCounters {
-    /// Adds another node's; of what waited the larger counts.
+    /// Adds the counters of another node; of `max_queued` the larger one is kept.
     pub fn add(&mut self, other: &Self) {
         self.malformed += other.malformed;
         self.oversized += other.oversized;
--- a/src/peers/dissemination/reporting.rs
+++ b/src/peers/dissemination/reporting.rs
@@ -1,4 +1,4 @@
-//! Reporting up the tree what a branch has applied, and taking the reports of the nodes below.
+//! Sending reports up the tree on what a subtree has applied, and receiving the reports of the nodes below.
 
 use super::super::{Micros, TrafficClass};
 use super::acknowledgement::ChannelKey;
@@ -9,58 +9,62 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Reports go up this often where something changed and no entry waits for the budget, and this often in any case.
-const REPORT_EVERY: Micros = 150_000;
-const REPEAT_REPORT: Micros = 1_000_000;
-/// A node confirms the reports of one below it this often at the most: each report repeats all of the one before it.
-const CONFIRM_EVERY: Micros = 300_000;
-/// For so long a parent within the region, or in another one, may be without a word: a confirmation that waits its turn,
-/// one round trip, and one confirmation lost. Then the node above it is told as well, and one more for each time as long.
-const CONFIRMED_WITHIN_NEAR: Micros = 700_000;
-const CONFIRMED_WITHIN_FAR: Micros = 1_100_000;
-/// Nodes above the parent that are told at the most.
-const MOST_ABOVE_PARENT: Micros = 4;
-/// Nodes above the parent that are told while one of them confirms.
-const ABOVE_PARENT_CONFIRMED: Micros = 2;
-/// Nodes whose confirmations are remembered: more than a node has children.
-const MOST_CONFIRMED: usize = 256;
-/// A branch that has not said after this time that it applied what its parent has is named: 2.4 s to apply it, and 11
-/// levels at which a report waits up to 150 ms.
-pub const LAG: Micros = 4_000_000;
-
-/// When this node reported on a publisher's lines.
+/// Reports are sent at the first interval if something changed and no entries wait for byte budget, and at the second
+/// in any case.
+const REPORT_INTERVAL: Micros = 150_000;
+const REPORT_REPEAT_INTERVAL: Micros = 1_000_000;
+/// Shortest interval between confirmations to one node below: each report repeats all of the previous one.
+const CONFIRMATION_INTERVAL: Micros = 300_000;
+/// How long a parent, in the same region or another one, may leave reports unconfirmed: one confirmation held back by
+/// [`CONFIRMATION_INTERVAL`], one round trip, and one confirmation lost. Then reports go to the grandparent as well,
+/// and to one more ancestor after each further period.
+const CONFIRMATION_TIMEOUT_SAME_REGION: Micros = 700_000;
+const CONFIRMATION_TIMEOUT_CROSS_REGION: Micros = 1_100_000;
+/// Limit on ancestors above the parent that receive reports.
+const MAX_LEVELS_ABOVE_PARENT: Micros = 4;
+/// Number of ancestors above the parent that receive reports while one of them confirms.
+const LEVELS_ABOVE_CONFIRMED_ANCESTOR: Micros = 2;
+/// Limit on nodes whose last confirmation is remembered: more than a node has children.
+const MAX_CONFIRMED_SENDERS: usize = 256;
+/// A subtree is listed as lagging if it has not reported after this time that it applied what its parent has: 2.4 s to
+/// apply it, and up to 150 ms that a report waits at each of 11 levels.
+pub const LAG_ALLOWANCE: Micros = 4_000_000;
+
+/// State of this node's reports on a publisher's channels.
 #[derive(Clone, Debug, Default)]
-pub struct Reporting {
-    /// Something changed since the last report.
+pub struct ReportState {
+    /// Whether something changed since the last report.
     pub changed: bool,
     sent_at: Micros,
     /// When the first report was sent that the parent has not confirmed.
     unconfirmed_since: Option<Micros>,
-    /// What this node itself had applied, and when.
+    /// What this node itself had applied, with the time.
     history: BTreeMap<Channel, VecDeque<(Micros, u64)>>,
 }
 
-impl Reporting {
-    /// The parent confirmed.
+impl ReportState {
+    /// The parent confirmed a report.
     pub fn confirmed(&mut self) {
         self.unconfirmed_since = None;
     }
 
-    /// Somebody above the parent confirmed: there is no need to go on to those above.
-    pub fn confirmed_above(&mut self, now: Micros, far: bool) {
-        let enough = now.saturating_sub(ABOVE_PARENT_CONFIRMED * confirmed_within(far));
-        self.unconfirmed_since = self.unconfirmed_since.map(|since| since.max(enough));
+    /// An ancestor above the parent confirmed a report: there is no need to include more distant ones.
+    pub fn confirmed_above(&mut self, now: Micros, cross_region: bool) {
+        let earliest =
+            now.saturating_sub(LEVELS_ABOVE_CONFIRMED_ANCESTOR * confirmation_timeout(cross_region));
+        self.unconfirmed_since = self.unconfirmed_since.map(|since| since.max(earliest));
     }
 
-    /// A report is sent now: how many of the nodes above are told.
-    fn levels(&mut self, now: Micros, far: bool) -> usize {
+    /// Number of ancestors to which a report that is sent now goes.
+    fn ancestors_to_notify(&mut self, now: Micros, cross_region: bool) -> usize {
         let since = *self.unconfirmed_since.get_or_insert(now);
-        let above_parent = (now - since) / confirmed_within(far);
-        1 + above_parent.min(MOST_ABOVE_PARENT) as usize
+        let above_parent = (now - since) / confirmation_timeout(cross_region);
+        1 + above_parent.min(MAX_LEVELS_ABOVE_PARENT) as usize
     }
 
-    /// Notes what this node has applied; what it had [`LAG`] ago, which its branch is to have by now.
-    fn note(&mut self, now: Micros, channel: Channel, through: u64) -> u64 {
+    /// Records what this node has applied. Returns what it had applied [`LAG_ALLOWANCE`] ago, which its subtree should
+    /// have applied by now.
+    fn record_progress(&mut self, now: Micros, channel: Channel, through: u64) -> u64 {
         let history = self.history.entry(channel).or_default();
         if history.back().is_some_and(|last| last.1 > through) {
             history.clear();
@@ -68,37 +72,37 @@
         if history.back().is_none_or(|last| last.1 != through) {
             history.push_back((now, through));
         }
-        while history.get(1).is_some_and(|second| second.0 + LAG <= now) {
+        while history.get(1).is_some_and(|second| second.0 + LAG_ALLOWANCE <= now) {
             history.pop_front();
         }
-        history.front().filter(|first| first.0 + LAG <= now).map_or(0, |first| first.1)
+        history.front().filter(|first| first.0 + LAG_ALLOWANCE <= now).map_or(0, |first| first.1)
     }
 }
 
-fn is_far(me: &Member, parent: Option<&Member>) -> bool {
+fn is_cross_region(me: &Member, parent: Option<&Member>) -> bool {
     parent.is_some_and(|parent| !parent.shares_region(me))
 }
 
-fn confirmed_within(far: bool) -> Micros {
-    if far {
-        CONFIRMED_WITHIN_FAR
+fn confirmation_timeout(cross_region: bool) -> Micros {
+    if cross_region {
+        CONFIRMATION_TIMEOUT_CROSS_REGION
     } else {
-        CONFIRMED_WITHIN_NEAR
+        CONFIRMATION_TIMEOUT_SAME_REGION
     }
 }
 
-/// When the reports of nodes below were last confirmed.
+/// When reports of nodes below were last confirmed.
 #[derive(Clone, Debug, Default)]
 pub struct Confirmations(BTreeMap<(u64, SocketAddr), Micros>);
 
 impl Confirmations {
-    /// Whether a node's report on a publisher is to be confirmed now; then it is noted as done.
+    /// Whether a node's report on a publisher is to be confirmed now. If so, the confirmation is recorded.
     fn due(&mut self, now: Micros, publisher: u64, from: SocketAddr) -> bool {
-        let recent = |at: &Micros| now < at + CONFIRM_EVERY;
+        let recent = |at: &Micros| now < at + CONFIRMATION_INTERVAL;
         if self.0.get(&(publisher, from)).is_some_and(recent) {
             return false;
         }
-        if self.0.len() >= MOST_CONFIRMED {
+        if self.0.len() >= MAX_CONFIRMED_SENDERS {
             self.0.retain(|_, at| recent(at));
         }
         self.0.insert((publisher, from), now);
@@ -107,112 +111,116 @@
 }
 
 impl Dissemination {
-    /// A node above has confirmed a report of this one.
-    pub(super) fn take_confirmation(&mut self, now: Micros, from: SocketAddr, publisher: u64) {
+    /// Handles the confirmation of a report by a node above.
+    pub(super) fn handle_confirmation(&mut self, now: Micros, from: SocketAddr, publisher: u64) {
         let parent = self.overlay.tree_view(publisher).ancestors().next().copied();
-        let Some(reporting) = self.reporting.get_mut(&publisher) else { return };
+        let Some(report_state) = self.report_states.get_mut(&publisher) else { return };
         match parent {
-            Some(parent) if parent.address == from => reporting.confirmed(),
-            parent => reporting.confirmed_above(now, is_far(&self.me, parent.as_ref())),
+            Some(parent) if parent.address == from => report_state.confirmed(),
+            parent => report_state.confirmed_above(now, is_cross_region(&self.me, parent.as_ref())),
         }
     }
 
-    /// Reports what its branch has applied, or, at the publisher, looks at what all have.
-    pub(super) fn report(&mut self, now: Micros, out: &mut Vec<DisseminationOutput>) {
-        let entries_wait = self.outbox.pushes_wait();
+    /// Reports what the subtree has applied or, at the publisher, checks which entries all nodes have applied.
+    pub(super) fn send_due_reports(&mut self, now: Micros, out: &mut Vec<DisseminationOutput>) {
+        let entries_wait = self.outbox.has_pending_pushes();
         for publisher in self.publishers() {
-            if self.publishes(publisher) {
-                self.look_at_acknowledgements(now, out);
+            if self.is_active_publisher(publisher) {
+                self.check_acknowledgements(now, out);
                 continue;
             }
-            let reporting = self.reporting.entry(publisher).or_default();
-            let soon = reporting.changed && !entries_wait;
-            let wait = if soon { REPORT_EVERY } else { REPEAT_REPORT };
-            if now < reporting.sent_at + wait {
+            let report_state = self.report_states.entry(publisher).or_default();
+            let report_changes = report_state.changed && !entries_wait;
+            let interval = if report_changes { REPORT_INTERVAL } else { REPORT_REPEAT_INTERVAL };
+            if now < report_state.sent_at + interval {
                 continue;
             }
-            (reporting.changed, reporting.sent_at) = (false, now);
+            (report_state.changed, report_state.sent_at) = (false, now);
             let parent = self.overlay.tree_view(publisher).ancestors().next();
-            let levels = reporting.levels(now, is_far(&self.me, parent));
-            let reports = self.gather_all(now, publisher);
+            let levels = report_state.ancestors_to_notify(now, is_cross_region(&self.me, parent));
+            let reports = self.gather_reports(now, publisher);
             if reports.is_empty() {
                 continue;
             }
-            let above: Vec<SocketAddr> = self
+            let ancestors: Vec<SocketAddr> = self
                 .overlay
                 .tree_view(publisher)
                 .ancestors()
                 .take(levels)
                 .map(|member| member.address)
                 .collect();
-            for to in above {
+            for to in ancestors {
                 self.send_reports(to, &reports);
             }
         }
     }
 
     fn send_reports(&mut self, to: SocketAddr, reports: &[Report]) {
-        /// Two of the longest reports fit into a datagram.
-        const TOGETHER: usize = 2;
-        for some in reports.chunks(TOGETHER) {
-            self.outbox.small(TrafficClass::Log, to, Message::Reports(some.to_vec()));
+        /// Two reports of the largest size fit into a datagram.
+        const REPORTS_PER_DATAGRAM: usize = 2;
+        for chunk in reports.chunks(REPORTS_PER_DATAGRAM) {
+            self.outbox.queue_control(TrafficClass::Log, to, Message::Reports(chunk.to_vec()));
         }
     }
 
-    pub(super) fn gather_all(&mut self, now: Micros, publisher: u64) -> Vec<Report> {
+    pub(super) fn gather_reports(&mut self, now: Micros, publisher: u64) -> Vec<Report> {
         let mut found = Vec::new();
         for (key, own) in self.progress(publisher) {
-            let needed = self.reporting.entry(publisher).or_default().note(now, key.channel, own.through);
-            let branch = self.overlay.tree_view(publisher);
-            found.push(self.reports.gather(now, key, &own, needed, branch));
+            let required = self.report_states.entry(publisher).or_default().record_progress(
+                now,
+                key.channel,
+                own.through,
+            );
+            let tree_view = self.overlay.tree_view(publisher);
+            found.push(self.reports.gather(now, key, &own, required, tree_view));
         }
         found
     }
 
-    pub(super) fn take_reports(&mut self, now: Micros, from: SocketAddr, reports: Vec<Report>) {
+    pub(super) fn handle_reports(&mut self, now: Micros, from: SocketAddr, reports: Vec<Report>) {
         let mut publishers = BTreeSet::new();
         for report in reports {
             let publisher = report.publisher;
-            // Only nodes below this one report to it.
-            let branch = self.overlay.tree_view(publisher);
-            let below = branch
-                .index_of(from)
-                .is_some_and(|place| branch.tree.ancestors(place).any(|above| above == branch.own_index));
+            // Only reports of nodes below this one count.
+            let tree_view = self.overlay.tree_view(publisher);
+            let below = tree_view.index_of(from).is_some_and(|index| {
+                tree_view.tree.ancestors(index).any(|ancestor| ancestor == tree_view.own_index)
+            });
             if !below {
                 continue;
             }
             publishers.insert(publisher);
-            self.note_report(from, &report);
+            self.drop_acknowledged_pushes(from, &report);
             let key = ChannelKey { publisher, channel: report.channel };
-            let before = self.reports.through(key, from);
-            let moved = before != Some((report.epoch, report.through, report.set_hash));
+            let before = self.reports.last_reported(key, from);
+            let changed = before != Some((report.epoch, report.through, report.set_hash));
             if !self.reports.insert(now, from, report) {
                 self.counters.abandoned += 1;
-            } else if moved {
-                self.reporting.entry(publisher).or_default().changed = true;
+            } else if changed {
+                self.report_states.entry(publisher).or_default().changed = true;
             }
         }
         for publisher in publishers {
             if self.confirmations.due(now, publisher, from) {
-                self.outbox.small(TrafficClass::Log, from, Message::Confirm { publisher });
+                self.outbox.queue_control(TrafficClass::Log, from, Message::Confirm { publisher });
             }
         }
     }
 
-    /// A branch whose nodes have all of a line up to some place needs no push of what came before.
-    fn note_report(&mut self, from: SocketAddr, report: &Report) {
+    /// Drops queued pushes of what the whole subtree has already applied.
+    fn drop_acknowledged_pushes(&mut self, from: SocketAddr, report: &Report) {
         let publisher = report.publisher;
         match report.channel {
             Channel::Log => {
                 if self.logs.get(&publisher).is_some_and(|log| log.epoch() == report.epoch) {
-                    self.outbox.has(publisher, from, report.through);
+                    self.outbox.drop_pushes_through(publisher, from, report.through);
                 }
             }
             Channel::State(kind) => {
                 let key = StateKey { publisher, kind };
                 let newest = self.states.get(key).map(|slot| (slot.newest.epoch, slot.newest.sequence));
                 if newest == Some((report.epoch, report.through)) {
-                    self.outbox.has_state(from, key);
+                    self.outbox.drop_state_pushes(from, key);
                 }
             }
         }
--- a/src/peers/dissemination/sending.rs
+++ b/src/peers/dissemination/sending.rs
@@ -1,5 +1,6 @@
-//! What waits to be sent, and sending it as the budget allows: states, then questions and reports, then the log, then what
-//! is sent again. Pushes wait as sequences, not as copies, so that what waits together goes together.
+//! Send queues, flushed as the byte budget allows: states first, then digests, reports and other control messages, then
+//! the log, then repairs. Pushes are queued as sequences rather than as copies, so that entries which wait together
+//! share a datagram.
 
 use super::super::{ByteBudget, Micros, TrafficClass};
 use super::message::{encode, Entry, LogPosition, Message};
@@ -8,39 +9,40 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Sequences that wait for one child.
-const MOST_PUSHES: usize = 2_048;
-/// Questions, reports and words that wait.
-const MOST_SMALL: usize = 512;
-/// States that wait.
-const MOST_STATES: usize = 512;
-/// Nodes that wait for an answer.
-const MOST_REPAIRS: usize = 64;
-/// Entries of one answer: the next question tells what is still missing.
-const MOST_ANSWERED: usize = 64;
-/// Between two copies of a state.
-const NEXT_COPY: Micros = 150_000;
-/// States whose versions are told along with a push.
-const MOST_TOLD: usize = 2;
-/// A message's fields beside its entries, at the most.
-const HEADER: usize = 84;
-/// The budget is asked again no sooner than this.
-const LEAST_RETRY: Micros = 2_000;
+/// Limit on sequences queued for one child.
+const MAX_PUSHES_PER_CHILD: usize = 2_048;
+/// Limit on queued digests, reports and other control messages.
+const MAX_CONTROL_MESSAGES: usize = 512;
+/// Limit on queued pushes of states.
+const MAX_STATE_PUSHES: usize = 512;
+/// Limit on nodes that wait for a repair.
+const MAX_REPAIRS: usize = 64;
+/// Limit on entries sent for one digest: the next digest lists what is still missing.
+const MAX_ENTRIES_PER_REPAIR: usize = 64;
+/// Interval between two copies of a state.
+const STATE_COPY_INTERVAL: Micros = 150_000;
+/// Number of states whose versions are sent along with a push of entries.
+const MAX_STATES_PER_PUSH: usize = 2;
+/// Largest encoded size of a message's fields beside its entries.
+const MAX_HEADER_BYTES: usize = 84;
+/// Shortest time before a send that the budget refused is tried again.
+const MIN_RETRY_DELAY: Micros = 2_000;
 
 #[derive(Clone, Copy, Debug)]
 struct StatePush {
     to: SocketAddr,
     key: StateKey,
-    at: Micros,
-    copies: u32,
-    /// Whether one was sent already.
-    repeats: bool,
+    send_at: Micros,
+    copies_left: u32,
+    /// Whether a copy was sent already.
+    is_repeat: bool,
 }
 
 impl StatePush {
-    /// The first copy goes before entries; those that make up for a lost one take what these leave.
+    /// The first copy takes precedence over entries. Repeated copies, which only make up for losses, use budget that
+    /// entries leave.
     fn class(&self) -> TrafficClass {
-        if self.repeats {
+        if self.is_repeat {
             TrafficClass::Repair
         } else {
             TrafficClass::Configuration
@@ -51,98 +53,100 @@
 #[derive(Clone, Debug)]
 struct Repair {
     position: LogPosition,
-    /// What came later than this is on its way in any case.
-    grown_before: Micros,
-    sent: usize,
+    /// Entries received later than this are on their way in any case.
+    cutoff: Micros,
+    entries_sent: usize,
 }
 
-/// What waits to be sent.
+/// Messages that wait to be sent.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    small: VecDeque<(TrafficClass, SocketAddr, Message)>,
+    control: VecDeque<(TrafficClass, SocketAddr, Message)>,
     states: VecDeque<StatePush>,
     pushes: BTreeMap<(u64, SocketAddr), VecDeque<u64>>,
     repairs: BTreeMap<(SocketAddr, u64), Repair>,
-    /// When the budget allows more.
+    /// When the budget allows the next send.
     pub retry_at: Option<Micros>,
-    /// Where the round of children goes on.
-    turn: usize,
+    /// Position in the round-robin over children.
+    next_child: usize,
     abandoned: u64,
 }
 
 impl Outbox {
-    /// A word that fits into one datagram. Over the bound the oldest gives way: each is repeated by a timer.
-    pub fn small(&mut self, class: TrafficClass, to: SocketAddr, message: Message) {
-        if self.small.len() >= MOST_SMALL {
-            self.small.pop_front();
+    /// Queues a message that fits into one datagram. Over the limit the oldest is dropped, as all of them are repeated
+    /// by timers.
+    pub fn queue_control(&mut self, class: TrafficClass, to: SocketAddr, message: Message) {
+        if self.control.len() >= MAX_CONTROL_MESSAGES {
+            self.control.pop_front();
             self.abandoned += 1;
         }
-        self.small.push_back((class, to, message));
+        self.control.push_back((class, to, message));
     }
 
-    /// A version of a state for a node, in so many copies.
-    pub fn push_state(&mut self, now: Micros, to: SocketAddr, key: StateKey, copies: u32) {
+    /// Queues a version of a state for a node, in this number of copies.
+    pub fn queue_state(&mut self, now: Micros, to: SocketAddr, key: StateKey, copies: u32) {
         if self
             .states
             .iter()
-            .any(|push| (push.to, push.key) == (to, key) && push.copies >= copies && push.at <= now)
+            .any(|push| (push.to, push.key) == (to, key) && push.copies_left >= copies && push.send_at <= now)
         {
             return;
         }
-        if self.states.len() >= MOST_STATES {
+        if self.states.len() >= MAX_STATE_PUSHES {
             self.states.pop_front();
             self.abandoned += 1;
         }
-        self.states.push_back(StatePush { to, key, at: now, copies, repeats: false });
+        self.states.push_back(StatePush { to, key, send_at: now, copies_left: copies, is_repeat: false });
     }
 
-    /// An entry for a child; how many others were given up for it.
-    pub fn push_entry(&mut self, publisher: u64, to: SocketAddr, sequence: u64) -> u64 {
+    /// Queues an entry for a child. Returns how many others were dropped for it.
+    pub fn queue_entry(&mut self, publisher: u64, to: SocketAddr, sequence: u64) -> u64 {
         let waiting = self.pushes.entry((publisher, to)).or_default();
         waiting.push_back(sequence);
-        if waiting.len() <= MOST_PUSHES {
+        if waiting.len() <= MAX_PUSHES_PER_CHILD {
             return 0;
         }
         waiting.pop_front();
         1
     }
 
-    /// Whether entries wait for the budget.
-    pub fn pushes_wait(&self) -> bool {
+    /// Whether entries wait for byte budget.
+    pub fn has_pending_pushes(&self) -> bool {
         self.pushes.values().any(|waiting| !waiting.is_empty())
     }
 
-    /// A node has all up to this entry.
-    pub fn has(&mut self, publisher: u64, node: SocketAddr, delivered: u64) {
+    /// A node has all entries up to `delivered`: drops queued pushes of them.
+    pub fn drop_pushes_through(&mut self, publisher: u64, node: SocketAddr, delivered: u64) {
         if let Some(waiting) = self.pushes.get_mut(&(publisher, node)) {
             waiting.retain(|&sequence| sequence > delivered);
         }
     }
 
-    /// A node has a version of a state: no more copies of it are for that node.
-    pub fn has_state(&mut self, node: SocketAddr, key: StateKey) {
+    /// A node has the newest version of a state: drops its remaining copies.
+    pub fn drop_state_pushes(&mut self, node: SocketAddr, key: StateKey) {
         self.states.retain(|push| (push.to, push.key) != (node, key));
     }
 
-    /// A node asked: its last question counts. How many were given up for it.
-    pub fn repair(&mut self, to: SocketAddr, position: LogPosition, grown_before: Micros) -> u64 {
+    /// Queues a repair for the position in a node's digest, in place of an earlier one. Returns 1 if the limit was reached
+    /// and the repair was dropped, otherwise 0.
+    pub fn queue_repair(&mut self, to: SocketAddr, position: LogPosition, cutoff: Micros) -> u64 {
         let key = (to, position.publisher);
-        if self.repairs.len() >= MOST_REPAIRS && !self.repairs.contains_key(&key) {
+        if self.repairs.len() >= MAX_REPAIRS && !self.repairs.contains_key(&key) {
             return 1;
         }
-        self.repairs.insert(key, Repair { position, grown_before, sent: 0 });
+        self.repairs.insert(key, Repair { position, cutoff, entries_sent: 0 });
         0
     }
 
-    /// A publisher's log has changed its epoch: what waits of it may be void.
-    pub fn forget_log(&mut self, publisher: u64) {
+    /// Drops everything queued for a publisher's log: after a change of epoch it may be void.
+    pub fn discard_log(&mut self, publisher: u64) {
         self.pushes.retain(|key, _| key.0 != publisher);
         self.repairs.retain(|key, _| key.1 != publisher);
     }
 
-    /// A node is gone; how many pushes to it are given up.
-    pub fn forget_node(&mut self, node: SocketAddr) -> u64 {
-        let lost = self
+    /// Drops everything queued for a node that was removed. Returns the number of entries dropped.
+    pub fn discard_node(&mut self, node: SocketAddr) -> u64 {
+        let discarded = self
             .pushes
             .iter()
             .filter(|(key, _)| key.1 == node)
@@ -151,62 +155,62 @@
         self.pushes.retain(|key, _| key.1 != node);
         self.states.retain(|push| push.to != node);
         self.repairs.retain(|key, _| key.0 != node);
-        lost as u64
+        discarded as u64
     }
 
-    fn waiting(&self) -> usize {
+    fn queued(&self) -> usize {
         let pushes = self.pushes.values().filter(|waiting| !waiting.is_empty()).count();
-        self.small.len() + self.states.len() + pushes + self.repairs.len()
+        self.control.len() + self.states.len() + pushes + self.repairs.len()
     }
 
-    fn retry(&mut self, at: Micros) {
+    fn schedule_retry(&mut self, at: Micros) {
         self.retry_at = Some(self.retry_at.map_or(at, |retry| retry.min(at)));
     }
 }
 
 impl Dissemination {
-    /// Sends what waits, as far as the budget allows.
+    /// Sends what is queued, as far as the budget allows.
     pub fn flush(&mut self, now: Micros, budget: &mut ByteBudget, out: &mut Vec<DisseminationOutput>) {
         self.outbox.retry_at = None;
         self.flush_states(now, budget, out);
-        self.flush_small(now, budget, out);
+        self.flush_control(now, budget, out);
         self.flush_pushes(now, budget, out);
         self.flush_repairs(now, budget, out);
         self.counters.abandoned += std::mem::take(&mut self.outbox.abandoned);
-        self.counters.max_queued = self.counters.max_queued.max(self.outbox.waiting() as u64);
+        self.counters.max_queued = self.counters.max_queued.max(self.outbox.queued() as u64);
     }
 
     fn flush_states(&mut self, now: Micros, budget: &mut ByteBudget, out: &mut Vec<DisseminationOutput>) {
         let waiting = std::mem::take(&mut self.outbox.states);
         for mut push in waiting {
             let Some(slot) = self.states.get(push.key) else { continue };
-            if push.at > now {
-                self.outbox.retry(push.at);
+            if push.send_at > now {
+                self.outbox.schedule_retry(push.send_at);
                 self.outbox.states.push_back(push);
                 continue;
             }
             let message = Message::State { publisher: push.key.publisher, entry: slot.newest.clone() };
             if self.send(now, budget, push.class(), push.to, &message, out) {
-                push.copies -= 1;
-                push.repeats = true;
-                push.at = now + NEXT_COPY;
+                push.copies_left -= 1;
+                push.is_repeat = true;
+                push.send_at = now + STATE_COPY_INTERVAL;
             }
-            if push.copies > 0 {
+            if push.copies_left > 0 {
                 self.outbox.states.push_back(push);
             }
         }
     }
 
-    fn flush_small(&mut self, now: Micros, budget: &mut ByteBudget, out: &mut Vec<DisseminationOutput>) {
-        while let Some((class, to, message)) = self.outbox.small.pop_front() {
+    fn flush_control(&mut self, now: Micros, budget: &mut ByteBudget, out: &mut Vec<DisseminationOutput>) {
+        while let Some((class, to, message)) = self.outbox.control.pop_front() {
             if !self.send(now, budget, class, to, &message, out) {
-                self.outbox.small.push_front((class, to, message));
+                self.outbox.control.push_front((class, to, message));
                 return;
             }
         }
     }
 
-    /// One datagram for each child in turn, until nothing waits or the budget is used up.
+    /// Sends one datagram to each child in turn, until nothing is queued or the budget is used up.
     fn flush_pushes(&mut self, now: Micros, budget: &mut ByteBudget, out: &mut Vec<DisseminationOutput>) {
         self.outbox.pushes.retain(|_, waiting| !waiting.is_empty());
         let keys: Vec<(u64, SocketAddr)> = self.outbox.pushes.keys().copied().collect();
@@ -215,18 +219,18 @@
         }
         let mut idle = 0;
         while idle < keys.len() {
-            let key = keys[self.outbox.turn % keys.len()];
-            match self.push_some(now, budget, key, out) {
+            let key = keys[self.outbox.next_child % keys.len()];
+            match self.push_next_datagram(now, budget, key, out) {
                 Some(true) => idle = 0,
                 Some(false) => idle += 1,
                 None => return,
             }
-            self.outbox.turn = self.outbox.turn.wrapping_add(1);
+            self.outbox.next_child = self.outbox.next_child.wrapping_add(1);
         }
     }
 
-    /// Whether there was something to push to this child; none where the budget is used up.
-    fn push_some(
+    /// Whether there was something to push to this child; `None` if the budget is used up.
+    fn push_next_datagram(
         &mut self,
         now: Micros,
         budget: &mut ByteBudget,
@@ -237,23 +241,24 @@
         let Some(log) = self.logs.get(&publisher) else { return Some(false) };
         let Some(waiting) = self.outbox.pushes.get(&key) else { return Some(false) };
         let mut states = self.states.positions_of(publisher);
-        states.truncate(MOST_TOLD);
-        let room = self.config.max_datagram_bytes - HEADER;
-        let far = self.overlay.member_at(to).is_some_and(|child| !child.shares_region(&self.me));
-        // What is sent twice is paid as what is sent again: not from what entries on their first way need.
-        let spare = |entry: &&Entry| budget.wait(now, TrafficClass::Repair, entry.size()) == Some(0);
-        let repeated = waiting.front().filter(|_| far).and_then(|&first| log.recent_before(now, first));
-        let repeated = repeated.filter(spare);
+        states.truncate(MAX_STATES_PER_PUSH);
+        let max_bytes = self.config.max_datagram_bytes - MAX_HEADER_BYTES;
+        let cross_region = self.overlay.member_at(to).is_some_and(|child| !child.shares_region(&self.me));
+        // A repeated entry is charged as a repair, so that it takes no budget from entries sent for the first time.
+        let affordable = |entry: &&Entry| budget.wait(now, TrafficClass::Repair, entry.size()) == Some(0);
+        let repeated =
+            waiting.front().filter(|_| cross_region).and_then(|&first| log.recent_before(now, first));
+        let repeated = repeated.filter(affordable);
         let (mut taken, mut size, mut entries) = (0, 0, Vec::new());
         if let Some(repeated) = repeated {
             size += repeated.size();
             entries.push(repeated.clone());
         }
         for &sequence in waiting {
-            // What is no longer held is left to a snapshot.
+            // An entry that is no longer held is skipped; the child gets a [`Message::Skip`] later.
             if let Some(held) = log.get(sequence) {
                 size += held.entry.size();
-                if size > room {
+                if size > max_bytes {
                     break;
                 }
                 entries.push(held.entry.clone());
@@ -279,7 +284,7 @@
         let keys: Vec<(SocketAddr, u64)> = self.outbox.repairs.keys().copied().collect();
         for key in keys {
             while let Some(mut repair) = self.outbox.repairs.remove(&key) {
-                match self.repair_some(now, budget, key.0, &mut repair, out) {
+                match self.repair_next_datagram(now, budget, key.0, &mut repair, out) {
                     Some(true) => {
                         self.outbox.repairs.insert(key, repair);
                     }
@@ -293,8 +298,8 @@
         }
     }
 
-    /// Whether there may be more to send again to this node; none where the budget is used up.
-    fn repair_some(
+    /// Whether there may be more to repair at this node; `None` if the budget is used up.
+    fn repair_next_datagram(
         &mut self,
         now: Micros,
         budget: &mut ByteBudget,
@@ -305,7 +310,7 @@
         let publisher = repair.position.publisher;
         let Some(log) = self.logs.get(&publisher) else { return Some(false) };
         let (epoch, first) = (log.epoch(), log.first());
-        if let Some(through) = log.snapshot_for(&repair.position) {
+        if let Some(through) = log.skip_target(&repair.position) {
             let skip = Message::Skip { publisher, epoch, first, through };
             if !self.send(now, budget, TrafficClass::Repair, to, &skip, out) {
                 return None;
@@ -313,7 +318,7 @@
             repair.position.delivered = through;
             return Some(true);
         }
-        let entries = entries_for(log, repair, self.config.max_datagram_bytes - HEADER);
+        let entries = next_repair_entries(log, repair, self.config.max_datagram_bytes - MAX_HEADER_BYTES);
         let Some(last) = entries.last().map(|entry| entry.sequence) else { return Some(false) };
         let count = entries.len();
         let message = Message::Entries { publisher, epoch, first, entries, states: Vec::new() };
@@ -321,12 +326,12 @@
             return None;
         }
         self.counters.repaired += count as u64;
-        repair.sent += count;
+        repair.entries_sent += count;
         repair.position.delivered = last;
         Some(true)
     }
 
-    /// Sends one datagram, if the budget allows it now.
+    /// Sends one datagram if the budget allows it now.
     fn send(
         &mut self,
         now: Micros,
@@ -336,15 +341,15 @@
         message: &Message,
         out: &mut Vec<DisseminationOutput>,
     ) -> bool {
-        let data = encode(self.cluster, message);
+        let data = encode(self.cluster_hash, message);
         if data.len() > self.config.max_datagram_bytes {
             self.counters.oversized += 1;
             return true;
         }
         let cost = data.len() + self.config.overhead_bytes;
         if !budget.try_take(now, class, cost) {
-            let wait = budget.wait(now, class, cost).unwrap_or(LEAST_RETRY);
-            self.outbox.retry(now + wait.max(LEAST_RETRY));
+            let wait = budget.wait(now, class, cost).unwrap_or(MIN_RETRY_DELAY);
+            self.outbox.schedule_retry(now + wait.max(MIN_RETRY_DELAY));
             return false;
         }
         out.push(DisseminationOutput::Send { to, data });
@@ -352,18 +357,18 @@
     }
 }
 
-/// The next entries for a node, as many as fit into a datagram.
-fn entries_for(log: &super::log::Log, repair: &Repair, room: usize) -> Vec<Entry> {
+/// The next entries of a repair, as many as fit into a datagram.
+fn next_repair_entries(log: &super::log::Log, repair: &Repair, max_bytes: usize) -> Vec<Entry> {
     let (mut size, mut entries) = (0, Vec::new());
-    if repair.sent >= MOST_ANSWERED {
+    if repair.entries_sent >= MAX_ENTRIES_PER_REPAIR {
         return entries;
     }
-    for held in log.lacked_at(&repair.position) {
-        if held.at > repair.grown_before {
+    for held in log.missing_at(&repair.position) {
+        if held.received_at > repair.cutoff {
             continue;
         }
         size += held.entry.size();
-        if size > room {
+        if size > max_bytes {
             break;
         }
         entries.push(held.entry.clone());
--- a/src/peers/dissemination/tests.rs
+++ b/src/peers/dissemination/tests.rs
@@ -1,7 +1,7 @@
-//! The parts one by one, and two cores side by side.
+//! Unit tests of the parts, and tests of two cores that exchange datagrams.
 
-use super::acknowledgement::{ChannelKey, OwnProgress, Reports, FRESH};
-use super::log::{Inserted, Log, RETAINED};
+use super::acknowledgement::{ChannelKey, OwnProgress, Reports, REPORT_TTL};
+use super::log::{InsertOutcome, Log, MAX_RETAINED_ENTRIES};
 use super::message::{encode, Channel, LaggingNode, LogPosition, Message, Report};
 use super::overlay::{mix, set_hash, Overlay, Tree, FANOUT};
 use super::state::{States, Verdict};
@@ -27,120 +27,123 @@
 }
 
 #[test]
-fn a_tree_reaches_all_with_few_children_and_enters_each_region_once() {
+fn tree_reaches_every_node_with_bounded_fanout_and_enters_each_region_once() {
     for nodes in [1, 2, 66, 530, 2_120] {
         let members: Vec<Member> = (0..nodes).map(member).collect();
         let root = nodes / 2;
         let tree = Tree::new(&members, members[root].key, &BTreeSet::new());
         assert_eq!(tree.subtree(root).len(), nodes);
         assert!((0..nodes).all(|node| tree.children(node).len() <= FANOUT + 1));
-        let enters = |node: &usize| {
+        let enters_region = |node: &usize| {
             tree.parent(*node).is_some_and(|parent| !members[parent].shares_region(&members[*node]))
         };
-        assert_eq!((0..nodes).filter(enters).count(), nodes.min(8) - 1);
+        assert_eq!((0..nodes).filter(enters_region).count(), nodes.min(8) - 1);
         let depth = (0..nodes).map(|node| tree.ancestors(node).count()).max().unwrap();
         assert!(depth <= 14, "{nodes} nodes: {depth}");
     }
 }
 
 #[test]
-fn all_that_see_the_same_members_work_out_the_same_tree() {
-    let mut one = Overlay::new(member(0));
-    let mut two = Overlay::new(member(1));
-    (0..200).for_each(|node| one.insert(member(node)));
-    (0..200).rev().for_each(|node| two.insert(member(node)));
+fn nodes_with_the_same_members_compute_the_same_tree() {
+    let mut first = Overlay::new(member(0));
+    let mut second = Overlay::new(member(1));
+    (0..200).for_each(|node| first.insert(member(node)));
+    (0..200).rev().for_each(|node| second.insert(member(node)));
     let key = member(7).key;
     for node in 0..200 {
         let parent = |overlay: &mut Overlay| {
-            let branch = overlay.tree_view(key);
-            let place = branch.index_of(member(node).address).unwrap();
-            branch.tree.parent(place).map(|parent| branch.members[parent].address)
+            let tree_view = overlay.tree_view(key);
+            let index = tree_view.index_of(member(node).address).unwrap();
+            tree_view.tree.parent(index).map(|parent| tree_view.members[parent].address)
         };
-        assert_eq!(parent(&mut one), parent(&mut two));
+        assert_eq!(parent(&mut first), parent(&mut second));
     }
-    assert_eq!(one.set_hash(), two.set_hash());
+    assert_eq!(first.set_hash(), second.set_hash());
 }
 
 #[test]
-fn one_that_is_suspected_gets_entries_and_nobody_gets_them_by_way_of_it() {
+fn suspected_node_receives_entries_but_relays_none() {
     let mut overlay = Overlay::new(member(0));
     (1..60).for_each(|node| overlay.insert(member(node)));
     let publisher = member(0).key;
     let before = overlay.tree_view(publisher).tree.clone();
     let members = overlay.members().to_vec();
-    let relay = (0..60).find(|&place| !before.children(place).is_empty() && members[place].key != publisher);
+    let relay = (0..60).find(|&index| !before.children(index).is_empty() && members[index].key != publisher);
     let relay = members[relay.unwrap()];
     overlay.suspect(&relay);
-    let branch = overlay.tree_view(publisher);
-    let place = branch.index_of(relay.address).unwrap();
-    assert!(branch.tree.children(place).is_empty() && branch.tree.parent(place).is_some());
-    let reached = branch.tree.subtree(branch.index_of(member(0).address).unwrap());
-    assert_eq!(reached.len(), 60, "all are reached, itself among them");
+    let tree_view = overlay.tree_view(publisher);
+    let index = tree_view.index_of(relay.address).unwrap();
+    assert!(tree_view.tree.children(index).is_empty() && tree_view.tree.parent(index).is_some());
+    let reached = tree_view.tree.subtree(tree_view.index_of(member(0).address).unwrap());
+    assert_eq!(reached.len(), 60, "the tree reaches all nodes, the suspected one included");
     overlay.insert(relay);
     let after = overlay.tree_view(publisher).tree;
-    assert!((0..60).all(|place| after.parent(place) == before.parent(place)), "as it was");
+    assert!(
+        (0..60).all(|index| after.parent(index) == before.parent(index)),
+        "the tree is the same as before the suspicion"
+    );
 }
 
 #[test]
-fn a_zone_that_is_suspected_as_a_whole_relays_for_itself_alone() {
+fn fully_suspected_zone_relays_only_within_itself() {
     let mut overlay = Overlay::new(member(0));
     (1..260).for_each(|node| overlay.insert(member(node)));
     let lost: Vec<Member> =
         (1..260).map(member).filter(|other| other.location[1] == member(9).location[1]).collect();
     lost.iter().for_each(|member| overlay.suspect(member));
-    let branch = overlay.tree_view(member(0).key);
+    let tree_view = overlay.tree_view(member(0).key);
     for member in &lost {
-        let place = branch.index_of(member.address).unwrap();
-        let children = branch.tree.children(place).iter().map(|&child| branch.members[child]);
+        let index = tree_view.index_of(member.address).unwrap();
+        let children = tree_view.tree.children(index).iter().map(|&child| tree_view.members[child]);
         assert!(children.into_iter().all(|child| child.location[1] == member.location[1]));
     }
 }
 
 #[test]
-fn a_publisher_that_is_not_present_has_a_tree_all_the_same() {
+fn absent_publisher_still_has_a_tree() {
     let members: Vec<Member> = (0..100).map(member).collect();
     let tree = Tree::new(&members, hash_name("gone"), &BTreeSet::new());
     assert_eq!((0..100).filter(|&node| tree.parent(node).is_none()).count(), 1);
 }
 
 #[test]
-fn a_log_delivers_once_and_in_order_whatever_comes() {
+fn log_delivers_once_and_in_order_despite_reordering_and_duplicates() {
     let mut log = Log::new(0, 1, 1, 0, true);
-    assert_eq!(log.insert(1, entry(1, 2)), Inserted::New);
+    assert_eq!(log.insert(1, entry(1, 2)), InsertOutcome::New);
     assert_eq!(log.deliver(1), None);
     assert_eq!(log.position(7).held_ranges, [(2, 2)]);
-    assert_eq!(log.insert(2, entry(1, 2)), Inserted::Duplicate);
-    assert_eq!(log.insert(2, entry(1, 1)), Inserted::New);
+    assert_eq!(log.insert(2, entry(1, 2)), InsertOutcome::Duplicate);
+    assert_eq!(log.insert(2, entry(1, 1)), InsertOutcome::New);
     let delivered: Vec<u64> = std::iter::from_fn(|| log.deliver(2)).map(|entry| entry.sequence).collect();
     assert_eq!(delivered, [1, 2]);
-    assert_eq!(log.insert(3, entry(1, 1)), Inserted::Duplicate);
-    assert_eq!(log.insert(3, entry(1, 5_000)), Inserted::TooFar);
+    assert_eq!(log.insert(3, entry(1, 1)), InsertOutcome::Duplicate);
+    assert_eq!(log.insert(3, entry(1, 5_000)), InsertOutcome::TooFarAhead);
     assert_eq!(log.highest, 5_000);
 }
 
 #[test]
-fn a_later_epoch_makes_void_what_an_earlier_one_issued_from_there_on() {
+fn later_epoch_voids_earlier_entries_from_its_first_sequence_on() {
     let mut log = Log::new(0, 1, 1, 0, true);
-    (1..=5).for_each(|sequence| assert_eq!(log.insert(1, entry(1, sequence)), Inserted::New));
+    (1..=5).for_each(|sequence| assert_eq!(log.insert(1, entry(1, sequence)), InsertOutcome::New));
     while log.deliver(1).is_some() {}
-    log.adopt(2, 2, 4);
+    log.adopt_epoch(2, 2, 4);
     assert_eq!((log.epoch(), log.delivered), (2, 3));
-    assert_eq!(log.insert(3, entry(1, 4)), Inserted::Fenced);
-    assert_eq!(log.insert(3, entry(2, 3)), Inserted::Fenced);
-    assert_eq!(log.insert(3, entry(2, 4)), Inserted::New);
+    assert_eq!(log.insert(3, entry(1, 4)), InsertOutcome::Fenced);
+    assert_eq!(log.insert(3, entry(2, 3)), InsertOutcome::Fenced);
+    assert_eq!(log.insert(3, entry(2, 4)), InsertOutcome::New);
     assert_eq!(log.deliver(3).map(|entry| (entry.epoch, entry.sequence)), Some((2, 4)));
-    log.adopt(4, 1, 1);
+    log.adopt_epoch(4, 1, 1);
     assert_eq!(log.epoch(), 2);
 }
 
 #[test]
-fn a_log_keeps_so_much_and_offers_a_snapshot_for_what_is_gone() {
+fn log_evicts_beyond_its_limit_and_offers_a_skip_over_evicted_entries() {
     let mut log = Log::new(0, 1, 1, 0, true);
-    for sequence in 1..=RETAINED as u64 + 100 {
+    for sequence in 1..=MAX_RETAINED_ENTRIES as u64 + 100 {
         log.insert(1, entry(1, sequence));
         log.deliver(1);
     }
-    assert_eq!(log.entries(), RETAINED);
+    assert_eq!(log.entries(), MAX_RETAINED_ENTRIES);
     let at = |delivered: u64, stale: bool| LogPosition {
         publisher: 7,
         epoch: 1,
@@ -149,30 +152,30 @@
         held_ranges: Vec::new(),
         stale,
     };
-    assert_eq!(log.snapshot_for(&at(50, false)), Some(100));
-    assert_eq!(log.snapshot_for(&at(100, false)), None);
-    // One that joined later has never held the beginning: that alone is no reason to leave it out.
-    let mut joined = Log::new(0, 1, 1, 10, true);
-    joined.insert(1, entry(1, 11));
-    joined.deliver(1);
-    assert_eq!(joined.snapshot_for(&at(5, false)), None);
-    assert_eq!(joined.snapshot_for(&at(5, true)), Some(10));
+    assert_eq!(log.skip_target(&at(50, false)), Some(100));
+    assert_eq!(log.skip_target(&at(100, false)), None);
+    // A node that joined late never held the first entries. That alone is no reason for others to skip them.
+    let mut late_joiner = Log::new(0, 1, 1, 10, true);
+    late_joiner.insert(1, entry(1, 11));
+    late_joiner.deliver(1);
+    assert_eq!(late_joiner.skip_target(&at(5, false)), None);
+    assert_eq!(late_joiner.skip_target(&at(5, true)), Some(10));
 }
 
 #[test]
-fn the_entry_before_another_one_is_repeated_while_it_is_recent() {
+fn previous_entry_is_repeated_only_while_it_is_recent() {
     let mut log = Log::new(0, 1, 1, 0, true);
     for sequence in 1..=2 {
         log.insert(sequence * 100_000, entry(1, sequence));
     }
     assert_eq!(log.recent_before(300_000, 3).map(|entry| entry.sequence), Some(2));
     assert_eq!(log.recent_before(300_000, 2).map(|entry| entry.sequence), Some(1));
-    assert_eq!(log.recent_before(300_000, 1), None, "there is none before the first");
-    assert_eq!(log.recent_before(700_000, 3), None, "what came long ago was asked for since");
+    assert_eq!(log.recent_before(300_000, 1), None, "there is no entry before the first");
+    assert_eq!(log.recent_before(700_000, 3), None, "an entry received long ago has been requested since");
 }
 
 #[test]
-fn the_newest_state_wins_and_a_refused_one_leaves_the_last_good_one() {
+fn newest_state_wins_and_a_refusal_keeps_the_last_applied_version() {
     let mut states = States::default();
     let key = StateKey { publisher: 7, kind: 0 };
     assert!(states.offer(0, key, &entry(1, 1)));
@@ -186,14 +189,14 @@
     assert!(!states.offer(0, key, &entry(1, 9)));
 }
 
-/// A publisher with 30 nodes, and what each child of its says of its branch.
-struct Gathering {
+/// A publisher with 30 nodes, and the reports of its children.
+struct SubtreeReports {
     overlay: Overlay,
     key: ChannelKey,
     reports: Reports,
 }
 
-impl Gathering {
+impl SubtreeReports {
     fn new() -> Self {
         let mut overlay = Overlay::new(member(0));
         (1..30).for_each(|node| overlay.insert(member(node)));
@@ -202,15 +205,15 @@
     }
 
     fn children(&mut self) -> Vec<usize> {
-        let branch = self.overlay.tree_view(self.key.publisher);
-        branch.tree.children(branch.own_index).to_vec()
+        let tree_view = self.overlay.tree_view(self.key.publisher);
+        tree_view.tree.children(tree_view.own_index).to_vec()
     }
 
-    /// A report on the branch at a place, as all nodes there have applied `through`.
-    fn report(&mut self, now: Micros, place: usize, through: u64) {
-        let branch = self.overlay.tree_view(self.key.publisher);
+    /// Inserts a report that all nodes of the subtree at `index` have applied `through`.
+    fn report(&mut self, now: Micros, index: usize, through: u64) {
+        let tree_view = self.overlay.tree_view(self.key.publisher);
         let below: Vec<&Member> =
-            branch.tree.subtree(place).into_iter().map(|place| &branch.members[place]).collect();
+            tree_view.tree.subtree(index).into_iter().map(|index| &tree_view.members[index]).collect();
         let report = Report {
             publisher: self.key.publisher,
             channel: Channel::Log,
@@ -223,72 +226,75 @@
             refusals: Vec::new(),
             refusal_count: 0,
         };
-        let from = branch.members[place].address;
+        let from = tree_view.members[index].address;
         self.reports.insert(now, from, report);
     }
 
-    fn gather(&mut self, now: Micros, needed: u64) -> Report {
+    fn gather(&mut self, now: Micros, required: u64) -> Report {
         let own = OwnProgress { epoch: 1, through: 9, refused: None };
-        let branch = self.overlay.tree_view(self.key.publisher);
-        self.reports.gather(now, self.key, &own, needed, branch)
+        let tree_view = self.overlay.tree_view(self.key.publisher);
+        self.reports.gather(now, self.key, &own, required, tree_view)
     }
 }
 
 #[test]
-fn branches_add_up_to_all_that_are_present() {
-    let mut gathering = Gathering::new();
-    let children = gathering.children();
+fn subtree_reports_add_up_to_all_present_members() {
+    let mut subtree_reports = SubtreeReports::new();
+    let children = subtree_reports.children();
     for (number, &child) in children.iter().enumerate() {
-        let short = gathering.gather(0, 0);
-        assert!(short.set_hash != gathering.overlay.set_hash(), "{number} branches are not all");
-        gathering.report(0, child, 8 + number as u64);
+        let partial = subtree_reports.gather(0, 0);
+        assert!(
+            partial.set_hash != subtree_reports.overlay.set_hash(),
+            "{number} subtrees are not all nodes"
+        );
+        subtree_reports.report(0, child, 8 + number as u64);
     }
-    let all = gathering.gather(0, 0);
+    let all = subtree_reports.gather(0, 0);
     assert_eq!((all.nodes, all.through), (30, 8));
-    assert_eq!(all.set_hash, gathering.overlay.set_hash());
+    assert_eq!(all.set_hash, subtree_reports.overlay.set_hash());
     assert_eq!(all.lagging, []);
 }
 
 #[test]
-fn a_branch_that_lags_or_is_silent_is_left_out_and_named() {
-    let mut gathering = Gathering::new();
-    let children = gathering.children();
+fn lagging_or_silent_subtree_is_left_out_and_listed() {
+    let mut subtree_reports = SubtreeReports::new();
+    let children = subtree_reports.children();
     let last = *children.last().unwrap();
-    children.iter().for_each(|&child| gathering.report(0, child, if child == last { 3 } else { 9 }));
-    let key = gathering.overlay.tree_view(gathering.key.publisher).members[last].key;
-    let below = gathering.overlay.tree_view(gathering.key.publisher).tree.subtree(last).len();
-    let report = gathering.gather(0, 5);
+    children.iter().for_each(|&child| subtree_reports.report(0, child, if child == last { 3 } else { 9 }));
+    let key = subtree_reports.overlay.tree_view(subtree_reports.key.publisher).members[last].key;
+    let below = subtree_reports.overlay.tree_view(subtree_reports.key.publisher).tree.subtree(last).len();
+    let report = subtree_reports.gather(0, 5);
     assert_eq!(report.through, 9);
     assert_eq!(report.lagging, [LaggingNode { key, whole_subtree: below > 1 }]);
     assert_eq!(report.nodes as usize, 30 - below);
-    assert_eq!(gathering.gather(FRESH, 0).nodes, 1);
+    assert_eq!(subtree_reports.gather(REPORT_TTL, 0).nodes, 1);
 }
 
 #[test]
-fn those_below_a_silent_relay_speak_for_themselves() {
-    let mut gathering = Gathering::new();
-    let children = gathering.children();
-    let branch = gathering.overlay.tree_view(gathering.key.publisher);
-    let silent = *children.iter().max_by_key(|&&child| branch.tree.subtree(child).len()).unwrap();
-    let grandchildren = branch.tree.children(silent).to_vec();
-    let (key, id) = (branch.members[silent].key, branch.members[silent].id);
-    children.iter().filter(|&&child| child != silent).for_each(|&child| gathering.report(0, child, 9));
-    grandchildren.iter().for_each(|&child| gathering.report(0, child, 9));
-    let report = gathering.gather(0, 0);
+fn reports_from_below_a_silent_relay_count_directly() {
+    let mut subtree_reports = SubtreeReports::new();
+    let children = subtree_reports.children();
+    let tree_view = subtree_reports.overlay.tree_view(subtree_reports.key.publisher);
+    let silent = *children.iter().max_by_key(|&&child| tree_view.tree.subtree(child).len()).unwrap();
+    let grandchildren = tree_view.tree.children(silent).to_vec();
+    let (key, id) = (tree_view.members[silent].key, tree_view.members[silent].id);
+    children.iter().filter(|&&child| child != silent).for_each(|&child| subtree_reports.report(0, child, 9));
+    grandchildren.iter().for_each(|&child| subtree_reports.report(0, child, 9));
+    let report = subtree_reports.gather(0, 0);
     assert_eq!(report.nodes, 29);
     assert_eq!(report.lagging, [LaggingNode { key, whole_subtree: false }]);
-    assert_eq!(report.set_hash.wrapping_add(mix(id)), gathering.overlay.set_hash());
+    assert_eq!(report.set_hash.wrapping_add(mix(id)), subtree_reports.overlay.set_hash());
 }
 
-/// A publisher and a node that know each other, with nothing lost between them.
+/// A publisher and a node that know each other, without loss unless set.
 struct Pair {
     now: Micros,
     cores: [Dissemination; 2],
     budgets: [ByteBudget; 2],
-    told: Vec<(usize, DisseminationOutput)>,
-    /// Datagrams of the first one that are lost from now on.
-    lost: usize,
-    /// By which node, and what, those that were lost among them.
+    outputs: Vec<(usize, DisseminationOutput)>,
+    /// Number of datagrams of the first node that will still be lost.
+    datagrams_to_lose: usize,
+    /// All messages sent, lost ones included, with the index of the sender.
     sent: Vec<(usize, Message)>,
 }
 
@@ -308,15 +314,15 @@
             now: 0,
             cores: [core(0), core(1)],
             budgets: [budget(), budget()],
-            told: Vec::new(),
-            lost: 0,
+            outputs: Vec::new(),
+            datagrams_to_lose: 0,
             sent: Vec::new(),
         }
     }
 
-    /// The entries that the second one's subscriber got.
+    /// Sequences delivered to the second node's subscriber.
     fn delivered(&self) -> Vec<u64> {
-        let delivered = self.told.iter().filter_map(|(node, output)| match output {
+        let delivered = self.outputs.iter().filter_map(|(node, output)| match output {
             DisseminationOutput::Deliver { entry, .. } if *node == 1 => Some(entry.sequence),
             _ => None,
         });
@@ -339,13 +345,13 @@
         let other = 1 - node;
         for output in out {
             let DisseminationOutput::Send { data, .. } = output else {
-                self.told.push((node, output));
+                self.outputs.push((node, output));
                 continue;
             };
             let cluster = hash_name("walkpick") as u32;
             self.sent.push((node, message::decode(cluster, 1_400, &data).unwrap()));
-            if node == 0 && self.lost > 0 {
-                self.lost -= 1;
+            if node == 0 && self.datagrams_to_lose > 0 {
+                self.datagrams_to_lose -= 1;
                 continue;
             }
             let mut out = Vec::new();
@@ -355,7 +361,7 @@
         }
     }
 
-    fn hand(&mut self, node: usize, message: &Message) {
+    fn inject(&mut self, node: usize, message: &Message) {
         let data = encode(hash_name("walkpick") as u32, message);
         let mut out = Vec::new();
         let from = member(1 - node).address;
@@ -380,20 +386,20 @@
 }
 
 #[test]
-fn an_entry_reaches_both_and_the_publisher_is_told() {
+fn entry_reaches_both_nodes_and_the_publisher_is_notified() {
     let mut pair = Pair::new();
     pair.run(3 * SECOND);
     pair.open(1, 1).unwrap();
     assert_eq!(pair.publish(vec![1; MAX_PAYLOAD_BYTES]), Ok(1));
     pair.run(SECOND);
     let delivered = |node: usize| {
-        let of = |told: &&(usize, DisseminationOutput)| {
-            told.0 == node && matches!(told.1, DisseminationOutput::Deliver { .. })
+        let is_delivery = |item: &&(usize, DisseminationOutput)| {
+            item.0 == node && matches!(item.1, DisseminationOutput::Deliver { .. })
         };
-        pair.told.iter().filter(of).count()
+        pair.outputs.iter().filter(is_delivery).count()
     };
     assert_eq!((delivered(0), delivered(1)), (1, 1));
-    let acknowledged = pair.told.iter().filter_map(|(_, output)| match output {
+    let acknowledged = pair.outputs.iter().filter_map(|(_, output)| match output {
         DisseminationOutput::Acknowledged { sequence, nodes, .. } => Some((*sequence, *nodes)),
         _ => None,
     });
@@ -401,24 +407,24 @@
 }
 
 #[test]
-fn between_regions_an_entry_that_was_lost_comes_with_the_next_one() {
+fn lost_entry_between_regions_is_repeated_with_the_next_one() {
     let near = Member { location: member(0).location, ..member(1) };
     for (second, expected) in [(member(1), vec![1, 2]), (near, vec![])] {
         let mut pair = Pair::of([member(0), second]);
         pair.run(3 * SECOND);
         pair.open(1, 1).unwrap();
         pair.run(SECOND);
-        pair.lost = 1;
+        pair.datagrams_to_lose = 1;
         pair.publish(vec![1]).unwrap();
         pair.publish(vec![2]).unwrap();
-        assert_eq!(pair.delivered(), expected, "without a question");
+        assert_eq!(pair.delivered(), expected, "before any digest was sent");
         pair.run(SECOND);
         assert_eq!(pair.delivered(), [1, 2]);
     }
 }
 
 #[test]
-fn what_cannot_be_published_is_refused_with_its_reason() {
+fn publishing_fails_with_a_specific_error() {
     let mut pair = Pair::new();
     assert_eq!(pair.publish(vec![1]), Err(PublishError::NotOpen));
     assert_eq!(pair.open(1, 0), Err(PublishError::ZeroSequence));
@@ -426,43 +432,43 @@
     assert_eq!(pair.open(4, 1), Err(PublishError::Fenced { current_epoch: 4 }));
     let bytes = MAX_PAYLOAD_BYTES + 1;
     assert_eq!(pair.publish(vec![1; bytes]), Err(PublishError::PayloadTooLarge { bytes }));
-    // Nobody answers: what waits for its acknowledgement is bounded.
+    // The other node does not answer, so acknowledgements stay pending; their number is limited.
     pair.cores[1] = Dissemination::new(DisseminationConfig::default(), member(1), 1, 0);
     let published = (0..5_000).map(|_| pair.publish(vec![1])).find_map(Result::err);
     assert_eq!(published, Some(PublishError::TooManyPending(1_024)));
 }
 
 #[test]
-fn what_a_later_version_adds_to_an_entry_is_carried() {
+fn extension_added_by_a_later_version_is_forwarded() {
     let mut pair = Pair::new();
     pair.run(3 * SECOND);
     let later = Entry { schema: 77, extension: vec![5; 20], ..entry(1, 1) };
     let publisher = member(5).key;
     let entries =
         Message::Entries { publisher, epoch: 1, first: 1, entries: vec![later.clone()], states: Vec::new() };
-    pair.hand(0, &entries);
-    // It may have come to the one that is lower in the tree: the other one asks for it then.
+    pair.inject(0, &entries);
+    // If the lower node of the tree got the entry first, the other one requests it.
     pair.run(4 * SECOND);
-    let got = |node: usize| {
-        pair.told.iter().any(|(at, output)| {
+    let has_delivered = |node: usize| {
+        pair.outputs.iter().any(|(at, output)| {
             *at == node && *output == DisseminationOutput::Deliver { publisher, entry: later.clone() }
         })
     };
-    assert!(got(0) && got(1));
+    assert!(has_delivered(0) && has_delivered(1));
 }
 
 #[test]
-fn a_log_that_stays_behind_is_told_to_be_stale() {
+fn log_that_stays_behind_is_reported_as_stale() {
     let mut pair = Pair::new();
     pair.run(3 * SECOND);
     let publisher = member(5).key;
     let entries =
         Message::Entries { publisher, epoch: 1, first: 1, entries: vec![entry(1, 4)], states: Vec::new() };
-    pair.hand(0, &entries);
+    pair.inject(0, &entries);
     pair.run(9 * SECOND);
     let stale = |pair: &Pair| {
         let stale = DisseminationOutput::Stale { publisher, behind: 4 };
-        pair.told.iter().any(|told| *told == (0, stale.clone()))
+        pair.outputs.iter().any(|item| *item == (0, stale.clone()))
     };
     assert!(!stale(&pair));
     pair.run(2 * SECOND);
@@ -470,14 +476,14 @@
 }
 
 #[test]
-fn many_publishers_are_held_to_a_bound() {
+fn number_of_publishers_is_limited() {
     let mut pair = Pair::new();
     pair.run(3 * SECOND);
     for publisher in 0..100 {
         let entries = vec![entry(1, 1)];
-        pair.hand(0, &Message::Entries { publisher, epoch: 1, first: 1, entries, states: Vec::new() });
+        pair.inject(0, &Message::Entries { publisher, epoch: 1, first: 1, entries, states: Vec::new() });
     }
-    assert_eq!(pair.cores[0].held_entries(), MOST_PUBLISHERS);
+    assert_eq!(pair.cores[0].held_entries(), MAX_PUBLISHERS);
     assert!(pair.cores[0].counters().refused >= 92);
 }
 
--- a/src/peers/dissemination/tests/pressure.rs
+++ b/src/peers/dissemination/tests/pressure.rs
@@ -1,12 +1,13 @@
-//! What gives way where the budget is short: words, copies and repetitions before entries on their first way.
+//! What is dropped or delayed when the byte budget is short: control messages, copies and repeated entries before
+//! entries that are sent for the first time.
 
 use super::*;
 
-fn count(pair: &Pair, node: usize, is: impl Fn(&Message) -> bool) -> usize {
-    pair.sent.iter().filter(|(by, message)| *by == node && is(message)).count()
+fn count_sent(pair: &Pair, node: usize, predicate: impl Fn(&Message) -> bool) -> usize {
+    pair.sent.iter().filter(|(sender, message)| *sender == node && predicate(message)).count()
 }
 
-/// Two nodes of different regions, the first of them a publisher.
+/// Two nodes of different regions; the first is a publisher.
 fn publishing_pair() -> Pair {
     let mut pair = Pair::new();
     pair.run(3 * SECOND);
@@ -39,71 +40,72 @@
         pair.publish(vec![1]).unwrap();
         pair.run(SECOND / 10);
     }
-    let reports = count(&pair, 1, |message| matches!(message, Message::Reports(_)));
-    let confirmed = count(&pair, 0, |message| matches!(message, Message::Confirm { .. }));
+    let reports = count_sent(&pair, 1, |message| matches!(message, Message::Reports(_)));
+    let confirmed = count_sent(&pair, 0, |message| matches!(message, Message::Confirm { .. }));
     assert!(reports >= 15, "{reports} reports in 3 s");
     assert!((5..=11).contains(&confirmed), "{confirmed} confirmations of {reports} reports in 3 s");
 }
 
 #[test]
-fn no_more_copies_of_a_state_are_sent_to_a_node_that_has_it() {
+fn no_further_copies_of_a_state_are_sent_to_a_node_that_applied_it() {
     let mut pair = publishing_pair();
     publish_state(&mut pair);
     accept_state(&mut pair);
     pair.run(SECOND);
-    assert_eq!(count(&pair, 0, is_state), 1);
+    assert_eq!(count_sent(&pair, 0, is_state), 1);
 }
 
 #[test]
-fn a_copy_makes_up_for_a_state_that_was_lost() {
+fn second_copy_makes_up_for_a_lost_state() {
     let mut pair = publishing_pair();
-    pair.lost = 1;
+    pair.datagrams_to_lose = 1;
     publish_state(&mut pair);
     pair.run(SECOND / 5);
-    assert_eq!(count(&pair, 0, is_state), 2);
+    assert_eq!(count_sent(&pair, 0, is_state), 2);
     assert!(pair
-        .told
+        .outputs
         .iter()
         .any(|(node, output)| { *node == 1 && matches!(output, DisseminationOutput::StateOffered { .. }) }));
 }
 
 #[test]
-fn copies_of_a_state_take_what_entries_leave() {
+fn repeated_state_copies_use_only_budget_that_entries_leave() {
     let mut pair = publishing_pair();
-    // Three copies of some 880 bytes would go below the 1,638 bytes that what is sent again leaves to others.
+    // Three copies of some 880 bytes would draw the bucket below the 1,638 bytes that repairs must leave to other
+    // traffic.
     pair.budgets[0] = ByteBudget::new(1, 4_096, pair.now);
     publish_state(&mut pair);
     pair.run(SECOND / 2);
-    assert_eq!(count(&pair, 0, is_state), 2);
+    assert_eq!(count_sent(&pair, 0, is_state), 2);
     pair.publish(vec![1]).unwrap();
-    assert_eq!(pair.delivered(), [1], "an entry still goes");
+    assert_eq!(pair.delivered(), [1], "an entry is still sent");
 }
 
 #[test]
-fn between_regions_nothing_is_repeated_from_what_entries_need() {
+fn entries_are_not_repeated_between_regions_when_budget_is_short() {
     for (tokens, expected) in [(4_096, vec![1, 2]), (1_838, vec![])] {
         let mut pair = publishing_pair();
-        pair.lost = 1;
+        pair.datagrams_to_lose = 1;
         pair.publish(vec![1; 300]).unwrap();
-        // Spent down to some tokens of a bucket of 4,096 bytes.
+        // A bucket of 4,096 bytes, drawn down to `tokens`.
         let mut budget = ByteBudget::new(1, 4_096, pair.now);
         budget.take(pair.now, 4_096 - tokens);
         pair.budgets[0] = budget;
         pair.publish(vec![2; 20]).unwrap();
-        assert_eq!(pair.delivered(), expected, "{tokens} bytes are left");
+        assert_eq!(pair.delivered(), expected, "{tokens} bytes left in the bucket");
     }
 }
 
 #[test]
-fn reports_wait_while_entries_wait_for_the_budget() {
-    for (waiting, expected) in [(false, 3..=5), (true, 1..=1)] {
+fn reports_are_delayed_while_entries_wait_for_byte_budget() {
+    for (queued, expected) in [(false, 3..=5), (true, 1..=1)] {
         let mut pair = publishing_pair();
         pair.publish(vec![1]).unwrap();
         pair.run(2 * SECOND);
         pair.sent.clear();
-        if waiting {
-            // An entry is for a third node, and the budget allows nothing.
-            pair.cores[1].outbox.push_entry(member(0).key, member(9).address, 1);
+        if queued {
+            // An entry for a third node is queued, and the budget allows nothing.
+            pair.cores[1].outbox.queue_entry(member(0).key, member(9).address, 1);
             pair.budgets[1] = ByteBudget::new(1, 1, pair.now);
         }
         let published = pair.now;
@@ -111,14 +113,14 @@
             pair.publish(vec![2]).unwrap();
             pair.run(SECOND / 10);
         }
-        if waiting {
-            // What was held back goes out as soon as the budget allows it.
+        if queued {
+            // What was delayed is sent as soon as the budget allows it.
             pair.budgets[1] = budget();
             let mut out = Vec::new();
             pair.cores[1].flush(pair.now, &mut pair.budgets[1], &mut out);
             pair.carry_out(1, out);
         }
-        let reports = count(&pair, 1, |message| matches!(message, Message::Reports(_)));
-        assert!(expected.contains(&reports), "{reports} reports; entries wait: {waiting}");
+        let reports = count_sent(&pair, 1, |message| matches!(message, Message::Reports(_)));
+        assert!(expected.contains(&reports), "{reports} reports; entries queued: {queued}");
     }
 }
