--- a/src/peers/dissemination/sending.rs
+++ b/src/peers/dissemination/sending.rs
@@ -244,7 +244,8 @@
         states.truncate(MAX_STATES_PER_PUSH);
         let max_bytes = self.config.max_datagram_bytes - MAX_HEADER_BYTES;
         let cross_region = self.overlay.member_at(to).is_some_and(|child| !child.shares_region(&self.me));
-        // A repeated entry is charged as a repair, so that it takes no budget from entries sent for the first time.
+        // Between regions the previous entry is repeated along with the next one, in case it was lost. It is charged as a
+        // repair, so that it takes no budget from entries sent for the first time.
         let affordable = |entry: &&Entry| budget.wait(now, TrafficClass::Repair, entry.size()) == Some(0);
         let repeated =
             waiting.front().filter(|_| cross_region).and_then(|&first| log.recent_before(now, first));
