--- a/src/peers/dissemination/sending.rs
+++ b/src/peers/dissemination/sending.rs
@@ -246,7 +246,8 @@
         let cross_region = self.overlay.member_at(to).is_some_and(|child| !child.shares_region(&self.me));
         // Between regions the previous entry is repeated along with the next one, in case it was lost. It is charged as a
         // repair, so that it takes no budget from entries sent for the first time.
-        let affordable = |entry: &&Entry| budget.wait(now, TrafficClass::Repair, entry.size()) == Some(0);
+        let affordable =
+            |entry: &&Entry| budget.time_until_available(now, TrafficClass::Repair, entry.size()) == Some(0);
         let repeated =
             waiting.front().filter(|_| cross_region).and_then(|&first| log.recent_before(now, first));
         let repeated = repeated.filter(affordable);
@@ -349,7 +350,7 @@
         }
         let cost = data.len() + self.config.overhead_bytes;
         if !budget.try_take(now, class, cost) {
-            let wait = budget.wait(now, class, cost).unwrap_or(MIN_RETRY_DELAY);
+            let wait = budget.time_until_available(now, class, cost).unwrap_or(MIN_RETRY_DELAY);
             self.outbox.schedule_retry(now + wait.max(MIN_RETRY_DELAY));
             return false;
         }
--- a/src/peers/dissemination/tests/pressure.rs
+++ b/src/peers/dissemination/tests/pressure.rs
@@ -89,7 +89,7 @@
         pair.publish(vec![1; 300]).unwrap();
         // A bucket of 4,096 bytes, drawn down to `tokens`.
         let mut budget = ByteBudget::new(1, 4_096, pair.now);
-        budget.take(pair.now, 4_096 - tokens);
+        budget.charge(pair.now, 4_096 - tokens);
         pair.budgets[0] = budget;
         pair.publish(vec![2; 20]).unwrap();
         assert_eq!(pair.delivered(), expected, "{tokens} bytes left in the bucket");
