--- a/src/peers/budget.rs
+++ b/src/peers/budget.rs
@@ -1,22 +1,22 @@
-//! A token bucket for the bytes that a node's control traffic may send, with a reserve for what matters more.
+//! A token bucket for the bytes that a node's control traffic may send, with a reserve for traffic of higher priority.
 
 use super::Micros;
 
-/// Which kind of control traffic wants to send; the earlier ones go first.
+/// Classes of control traffic, by descending priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TrafficClass {
-    /// Probes, suspicion and joining.
+    /// Probes, suspicions and joining.
     Membership,
     /// Versioned state.
     Configuration,
-    /// Entries of a log on their first way.
+    /// Log entries that are sent for the first time.
     Log,
-    /// What was missed and is sent again.
+    /// Retransmission of data that a peer missed.
     Repair,
 }
 
 impl TrafficClass {
-    /// The percentage of the bucket's depth that this class leaves to those before it.
+    /// The percentage of the bucket's depth that this class leaves to classes of higher priority.
     fn reserve_percent(self) -> i64 {
         match self {
             TrafficClass::Membership => 0,
@@ -27,27 +27,27 @@
     }
 }
 
-/// Millionths of a byte in a byte: a rate in bytes a second gives whole ones each microsecond.
+/// Millionths of a byte in a byte. In this unit a rate in bytes per second adds a whole number each microsecond.
 const MICROBYTES: i64 = 1_000_000;
 
 /// A token bucket of bytes. Time is the caller's monotonic clock.
 #[derive(Clone, Debug)]
 pub struct ByteBudget {
     bytes_per_second: i64,
-    /// In millionths of a byte, as are the tokens.
+    /// In millionths of a byte, like `tokens`.
     depth: i64,
     tokens: i64,
     refilled_at: Micros,
 }
 
 impl ByteBudget {
-    /// A full bucket. `bytes_per_second`: its rate; `depth`: the most that it saves up, in bytes.
+    /// A full bucket. `bytes_per_second`: its rate; `depth`: its capacity, in bytes.
     pub fn new(bytes_per_second: u32, depth: u32, now: Micros) -> Self {
         let depth = i64::from(depth) * MICROBYTES;
         Self { bytes_per_second: i64::from(bytes_per_second.max(1)), depth, tokens: depth, refilled_at: now }
     }
 
-    /// Takes `bytes` out where the class may have them; whether it did.
+    /// Takes `bytes` if the class may have them; returns whether it did.
     pub fn try_take(&mut self, now: Micros, class: TrafficClass, bytes: usize) -> bool {
         self.refill(now);
         let left = self.tokens - microbytes(bytes);
@@ -58,13 +58,13 @@
         allowed
     }
 
-    /// Takes `bytes` out for what has to be sent in any case. The bucket may go into debt.
+    /// Takes `bytes` for data that is sent in any case. The balance may become negative.
     pub fn charge(&mut self, now: Micros, bytes: usize) {
         self.refill(now);
         self.tokens = self.tokens.saturating_sub(microbytes(bytes));
     }
 
-    /// How long until the class may send `bytes`, in microseconds; none where the bucket is too shallow for that.
+    /// The time until the class may send `bytes`; `None` if the bucket is too small for that.
     pub fn time_until_available(&mut self, now: Micros, class: TrafficClass, bytes: usize) -> Option<Micros> {
         self.refill(now);
         let needed = self.reserve(class).saturating_add(microbytes(bytes));
--- a/src/peers/budget/tests.rs
+++ b/src/peers/budget/tests.rs
@@ -3,7 +3,7 @@
 const SECOND: Micros = 1_000_000;
 
 #[test]
-fn what_is_sent_stays_within_depth_and_rate() {
+fn bytes_sent_stay_within_depth_and_rate() {
     let mut budget = ByteBudget::new(1_000, 2_000, 0);
     let mut sent = 0;
     for tick in 0..1_000 {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn later_classes_leave_a_reserve_to_earlier_ones() {
+fn lower_classes_leave_a_reserve_to_higher_ones() {
     let mut budget = ByteBudget::new(1_000, 2_000, 0);
     while budget.try_take(0, TrafficClass::Repair, 100) {}
     assert!(budget.try_take(0, TrafficClass::Log, 100));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_wait_that_is_told_is_the_wait_that_is_needed() {
+fn bytes_are_available_exactly_after_the_returned_wait() {
     let mut budget = ByteBudget::new(1_000, 2_000, 0);
     budget.charge(0, 2_500);
     let wait = budget.time_until_available(0, TrafficClass::Log, 300).expect("deep enough");
--- a/src/peers/joined.rs
+++ b/src/peers/budgeted.rs
@@ -1,5 +1,4 @@
-//! Dissemination among the peers that membership sees: its members, its datagrams in the common envelope, and one budget
-//! for the bytes of both.
+//! Connects dissemination to membership: membership supplies its members, and both send within one byte budget.
 
 use super::dissemination::overlay::mix;
 use super::dissemination::{hash_name, Dissemination, DisseminationConfig, DisseminationOutput, Member};
@@ -9,60 +8,69 @@
 use std::net::SocketAddr;
 
 /// Dissemination and the budget that it shares with membership.
-pub(super) struct Joined {
+pub(super) struct BudgetedDissemination {
     pub core: Dissemination,
     pub budget: ByteBudget,
 }
 
-impl Joined {
-    /// Of this node. An observer takes no part.
+impl BudgetedDissemination {
+    /// `None` for an observer, which takes no part in dissemination.
     pub fn new(
         config: &DisseminationConfig,
         cluster: &str,
-        me: &Peer,
+        local_peer: &Peer,
         seed: u64,
         now: Micros,
     ) -> Option<Self> {
-        if me.observer {
+        if local_peer.observer {
             return None;
         }
         let config = DisseminationConfig { cluster: cluster.to_owned(), ..config.clone() };
         let bytes = config.control_bytes_per_second;
-        // Rate and depth together are the budget, so that no second passes it. What membership sends in trouble comes to half
-        // of it for seconds: the more of it is rate, the less entries wait then.
+        // Rate and depth add up to the budget, so that no second exceeds it. During failures membership uses half of it for
+        // seconds at a time; the larger the share of the rate, the less log entries are delayed then.
         let budget = ByteBudget::new(bytes / 8 * 7, bytes / 8, now);
-        Some(Self { core: Dissemination::new(config, member(me), seed, now), budget })
+        Some(Self { core: Dissemination::new(config, member(local_peer), seed, now), budget })
     }
 
-    /// Takes over what membership told: who is present, and what it sent.
-    pub fn follow(&mut self, now: Micros, me: &Peer, replaced: Vec<Peer>, told: &[Output]) {
-        replaced.iter().for_each(|peer| self.present(peer));
-        for output in told {
+    /// Applies the outputs of membership: changes of members, and the bytes that it sent.
+    pub fn apply_membership(
+        &mut self,
+        now: Micros,
+        local_peer: &Peer,
+        replaced: Vec<Peer>,
+        outputs: &[Output],
+    ) {
+        replaced.iter().for_each(|peer| self.member_present(peer));
+        for output in outputs {
             match output {
                 Output::Send { data, .. } => self.budget.charge(now, data.len()),
-                Output::StatusChanged { peer, status: standing } => match standing {
-                    PeerStatus::Present => self.present(peer),
+                Output::StatusChanged { peer, status } => match status {
+                    PeerStatus::Present => self.member_present(peer),
                     PeerStatus::Suspected if !peer.observer => self.core.member_suspected(member(peer)),
                     PeerStatus::Suspected => {}
                     PeerStatus::Left | PeerStatus::Lost => self.core.member_gone(&member(peer)),
                 },
-                Output::Rejoined => self.core.renewed(member(me)),
+                Output::Rejoined => self.core.renewed(member(local_peer)),
                 _ => {}
             }
         }
     }
 
-    fn present(&mut self, peer: &Peer) {
+    fn member_present(&mut self, peer: &Peer) {
         if !peer.observer {
             self.core.member_present(member(peer));
         }
     }
 }
 
-/// What the core asks to be sent, and what it tells.
-pub(super) fn split(told: Vec<DisseminationOutput>, out: &mut Vec<Output>) -> Vec<(SocketAddr, Vec<u8>)> {
+/// Splits the outputs of dissemination: returns the messages to be sent, and adds the others to `out`.
+pub(super) fn split_sends(
+    outputs: Vec<DisseminationOutput>,
+    out: &mut Vec<Output>,
+) -> Vec<(SocketAddr, Vec<u8>)> {
     let mut sends = Vec::new();
-    for output in told {
+    for output in outputs {
         match output {
             DisseminationOutput::Send { to, data } => sends.push((to, data)),
             other => out.push(Output::Dissemination(other)),
@@ -71,7 +79,7 @@
     sends
 }
 
-/// A peer as dissemination knows it.
+/// The dissemination member that corresponds to a peer.
 pub(super) fn member(peer: &Peer) -> Member {
     let location = peer.location();
     let id = mix(peer.generation ^ mix(u64::from(peer.salt) ^ hash_name(&peer.name)));
--- a/src/peers/joined/tests.rs
+++ b/src/peers/budgeted/tests.rs
@@ -1,4 +1,4 @@
-//! Dissemination over membership: peers that meet, and pass entries on in the common envelope.
+//! Tests of dissemination among peers that find each other through membership.
 
 use super::super::dissemination::{DisseminationConfig, DisseminationOutput, PublishError};
 use super::super::{Location, Micros, Output, Peer, Peers, PeersConfig};
@@ -12,11 +12,11 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 7_000 + node as u16))
 }
 
-/// Peers with nothing lost between them.
+/// Peers on a network without loss.
 struct Cluster {
     now: Micros,
     peers: Vec<Peers>,
-    told: Vec<(usize, DisseminationOutput)>,
+    outputs: Vec<(usize, DisseminationOutput)>,
     datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
 }
 
@@ -32,7 +32,7 @@
             metadata: Location { region: format!("r{}", node % 2), ..Location::default() }.encode(),
         };
         let peers = (0..nodes).map(|node| Peers::new(config.clone(), peer(node), node as u64, 0)).collect();
-        Self { now: 0, peers, told: Vec::new(), datagrams: VecDeque::new() }
+        Self { now: 0, peers, outputs: Vec::new(), datagrams: VecDeque::new() }
     }
 
     fn run(&mut self, time: Micros) {
@@ -57,7 +57,7 @@
         for output in out {
             match output {
                 Output::Send { to, data } => self.datagrams.push_back((to, data)),
-                Output::Dissemination(output) => self.told.push((node, output)),
+                Output::Dissemination(output) => self.outputs.push((node, output)),
                 _ => {}
             }
         }
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn entries_go_to_all_that_membership_sees() {
+fn log_entries_reach_all_members_and_are_acknowledged() {
     let mut cluster = Cluster::new(12, Some(DisseminationConfig::default()));
     cluster.run(5 * SECOND);
     let mut out = Vec::new();
@@ -80,17 +80,17 @@
     assert_eq!(cluster.publish(3), Ok(1));
     cluster.run(2 * SECOND);
     let delivered =
-        cluster.told.iter().filter(|(_, told)| matches!(told, DisseminationOutput::Deliver { .. }));
+        cluster.outputs.iter().filter(|(_, output)| matches!(output, DisseminationOutput::Deliver { .. }));
     assert_eq!(delivered.count(), 12);
-    let all = cluster.told.iter().find_map(|(node, told)| match told {
+    let acknowledged = cluster.outputs.iter().find_map(|(node, output)| match output {
         DisseminationOutput::Acknowledged { nodes, .. } => Some((*node, *nodes)),
         _ => None,
     });
-    assert_eq!(all, Some((3, 12)));
+    assert_eq!(acknowledged, Some((3, 12)));
 }
 
 #[test]
-fn one_that_membership_takes_for_lost_is_waited_for_no_longer() {
+fn acknowledgement_does_not_wait_for_a_lost_member() {
     let mut cluster = Cluster::new(6, Some(DisseminationConfig::default()));
     cluster.run(5 * SECOND);
     let mut out = Vec::new();
@@ -98,7 +98,7 @@
     cluster.peers.truncate(5);
     cluster.publish(0).unwrap();
     cluster.run(8 * SECOND);
-    let acknowledged = cluster.told.iter().filter_map(|(_, told)| match told {
+    let acknowledged = cluster.outputs.iter().filter_map(|(_, output)| match output {
         DisseminationOutput::Acknowledged { nodes, .. } => Some(*nodes),
         _ => None,
     });
@@ -106,10 +106,10 @@
 }
 
 #[test]
-fn without_the_setting_nothing_is_published_and_nothing_more_is_sent() {
+fn publishing_fails_when_dissemination_is_not_configured() {
     let mut cluster = Cluster::new(3, None);
     cluster.run(5 * SECOND);
     assert_eq!(cluster.publish(0), Err(PublishError::NotOpen));
     assert!(cluster.peers[0].dissemination().is_none());
-    assert!(cluster.told.is_empty());
+    assert!(cluster.outputs.is_empty());
 }
--- a/src/peers/envelope/tests.rs
+++ b/src/peers/envelope/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 fn sender() -> Extension {
-    Extension::Sender(LifeId { address: "10.0.0.1:7946".parse().unwrap(), order: 7, salt: 9 })
+    Extension::Sender(IdentityKey { address: "10.0.0.1:7946".parse().unwrap(), generation: 7, salt: 9 })
 }
 
-fn datagram(schema: u16, more: &[u8]) -> Vec<u8> {
-    let envelope = Envelope { schema, cluster: "c", digest: 1, nodes: 2, payload: &[], more };
+fn datagram(schema: u16, extension_bytes: &[u8]) -> Vec<u8> {
+    let envelope = Envelope { schema, cluster: "c", digest: 1, nodes: 2, payload: &[], extension_bytes };
     postcard::to_stdvec(&envelope).unwrap()
 }
 
 #[test]
-fn extensions_come_back_as_they_were_sent() {
+fn extensions_are_decoded_as_they_were_encoded() {
     let sent = [sender(), Extension::Dissemination(vec![1, 2, 3])];
     let data = datagram(SCHEMA, &encode_extensions(&sent));
     let envelope = Envelope::decode(&data).unwrap();
@@ -19,21 +19,21 @@
 }
 
 #[test]
-fn kinds_of_a_later_version_are_passed_over() {
-    let mut more = encode_extensions(&[sender()]);
-    more.extend(postcard::to_stdvec(&Frame { kind: 60_000, body: b"later" }).unwrap());
-    more.extend(encode_extensions(&[Extension::Dissemination(vec![4])]));
-    let data = datagram(SCHEMA + 1, &more);
+fn unknown_extension_kinds_are_skipped() {
+    let mut extension_bytes = encode_extensions(&[sender()]);
+    extension_bytes.extend(postcard::to_stdvec(&Frame { kind: 60_000, body: b"later" }).unwrap());
+    extension_bytes.extend(encode_extensions(&[Extension::Dissemination(vec![4])]));
+    let data = datagram(SCHEMA + 1, &extension_bytes);
     let found = Envelope::decode(&data).unwrap().extensions();
     assert_eq!(found, [sender(), Extension::Dissemination(vec![4])]);
 }
 
 #[test]
-fn schema_one_has_no_extensions_and_garbage_ends_them() {
+fn schema_one_has_no_extensions_and_malformed_bytes_end_them() {
     let data = datagram(1, &encode_extensions(&[sender()]));
     assert_eq!(Envelope::decode(&data).unwrap().extensions(), []);
-    let mut more = encode_extensions(&[sender()]);
-    more.extend([1, 200, 200]);
-    let data = datagram(SCHEMA, &more);
+    let mut extension_bytes = encode_extensions(&[sender()]);
+    extension_bytes.extend([1, 200, 200]);
+    let data = datagram(SCHEMA, &extension_bytes);
     assert_eq!(Envelope::decode(&data).unwrap().extensions(), [sender()]);
 }
--- a/src/peers/identity.rs
+++ b/src/peers/identity.rs
@@ -1,73 +1,74 @@
-//! Who a peer is, as membership tells peers apart.
+//! The identity of a peer, by which membership tells peers and their restarts apart.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// By how much a renewed identity goes before all that its process may have been known as: more than wall clocks are
-/// ever apart, so that a process whose clock went back still takes the place of its older self.
-const RENEWED: u64 = 3_600_000_000;
+/// How much a renewal raises the generation. It exceeds any difference between wall clocks, so that the renewed identity
+/// supersedes all earlier ones of its process even if its clock was set back.
+const RENEWAL_STEP_US: u64 = 3_600_000_000;
 
-/// Where a process runs, from the widest to the narrowest. An empty text: not told.
+/// Where a process runs, from the widest scope to the narrowest. An empty string means that it is not configured.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Location {
-    /// Sites that are near to each other by the standards of a continent.
+    /// A geographic area whose sites are close to each other on the scale of a continent.
     pub region: String,
-    /// What fails together within a region.
+    /// A failure domain within the region.
     pub zone: String,
-    /// What fails together within a zone.
+    /// A failure domain within the zone.
     pub site: String,
 }
 
-/// What [`Peer::more`] begins with where it holds a location.
-const LOCATION: u8 = 1;
+/// The first byte of [`Peer::metadata`] if it holds a location.
+const LOCATION_TAG: u8 = 1;
 
 impl Location {
-    /// As [`Peer::more`] carries it: nothing where nothing is told, as each datagram names two peers.
+    /// The encoding for [`Peer::metadata`]: empty if nothing is configured, to save bytes, as each datagram names two peers.
     pub fn encode(&self) -> Vec<u8> {
         if *self == Self::default() {
             return Vec::new();
         }
-        // Texts of bounded length always have an encoding.
-        postcard::to_stdvec(&(LOCATION, self)).unwrap_or_default()
+        // Encoding strings of bounded length cannot fail.
+        postcard::to_stdvec(&(LOCATION_TAG, self)).unwrap_or_default()
     }
 }
 
-/// One life of one process. Of two at one address the one with the greater `order` stands; of two that claim one name
-/// as well, at different addresses.
+/// The identity of one process. A restarted process has a new identity, and so has one that was declared gone and
+/// rejoins. Of two identities with the same address, the one with the greater `generation` is valid; so it is with two
+/// that claim the same name at different addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// Where others reach it.
+    /// The address at which peers reach it.
     pub address: SocketAddr,
-    /// Microseconds of Unix time at its start, raised by an hour each time it was declared gone and came back. Compared
-    /// with other lives of one name or address alone, never with a clock.
+    /// Unix time at its start in microseconds, raised by an hour each time it was declared gone and rejoined. It is only
+    /// compared with other identities of the same name or address, never with a clock.
     #[serde(rename = "order")]
     pub generation: u64,
-    /// A random part: no two lives share it.
+    /// A random number that distinguishes processes with the same generation.
     pub salt: u32,
-    /// Looks on only: counted by nobody.
+    /// It only watches the cluster; no node counts it.
     pub observer: bool,
-    /// Its name.
+    /// The name of the node.
     pub name: String,
-    /// Its [`Location`], and what later versions add; carried as it is.
+    /// Its encoded [`Location`], and data that later versions may append; passed on unchanged.
     #[serde(rename = "more")]
     pub metadata: Vec<u8>,
 }
 
 impl Peer {
-    /// Whether this life goes before that one.
+    /// Whether this identity takes precedence over the other one.
     pub fn supersedes(&self, other: &Self) -> bool {
         (self.generation, self.salt) > (other.generation, other.salt)
     }
 
-    /// Whether the same process had this identity before it took the other one.
+    /// Whether this is an identity that the same process had before the other one.
     pub fn is_earlier_identity_of(&self, other: &Self) -> bool {
         self.generation < other.generation && Self { generation: other.generation, ..self.clone() } == *other
     }
 
-    /// Where it runs, as far as it told.
+    /// Where it runs; empty if it did not announce a location.
     pub fn location(&self) -> Location {
         match postcard::take_from_bytes::<(u8, Location)>(&self.metadata) {
-            Ok(((LOCATION, location), _)) => location,
+            Ok(((LOCATION_TAG, location), _)) => location,
             _ => Location::default(),
         }
     }
@@ -77,7 +78,7 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Self { generation: self.generation.saturating_add(RENEWED), ..self.clone() })
+        Some(Self { generation: self.generation.saturating_add(RENEWAL_STEP_US), ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
--- a/src/peers/identity/tests.rs
+++ b/src/peers/identity/tests.rs
@@ -1,30 +1,30 @@
 use super::*;
 
-fn peer(more: Vec<u8>) -> Peer {
+fn peer(metadata: Vec<u8>) -> Peer {
     let address = "10.0.0.1:7946".parse().unwrap();
-    Peer { address, generation: 1, salt: 1, observer: false, name: "n".into(), metadata: more }
+    Peer { address, generation: 1, salt: 1, observer: false, name: "n".into(), metadata }
 }
 
 #[test]
-fn a_location_is_carried_in_few_bytes_and_read_back() {
+fn location_is_encoded_in_few_bytes_and_decoded() {
     let location = Location { region: "eu".into(), zone: "eu1".into(), site: "p4".into() };
-    let more = location.encode();
-    assert_eq!(more.len(), 11);
-    assert_eq!(peer(more.clone()).location(), location);
-    // What a later version adds behind it is carried, and passed over.
-    assert_eq!(peer([&more[..], b"later"].concat()).location(), location);
+    let metadata = location.encode();
+    assert_eq!(metadata.len(), 11);
+    assert_eq!(peer(metadata.clone()).location(), location);
+    // Bytes that a later version appends are ignored.
+    assert_eq!(peer([&metadata[..], b"later"].concat()).location(), location);
 }
 
 #[test]
-fn without_a_location_nothing_is_carried_and_garbage_is_none() {
+fn empty_location_has_no_bytes_and_malformed_metadata_no_location() {
     assert_eq!(Location::default().encode(), []);
-    for more in [&b""[..], b"region=1", &[1, 200], &[2, 0, 0, 0]] {
-        assert_eq!(peer(more.to_vec()).location(), Location::default());
+    for metadata in [&b""[..], b"region=1", &[1, 200], &[2, 0, 0, 0]] {
+        assert_eq!(peer(metadata.to_vec()).location(), Location::default());
     }
 }
 
 #[test]
-fn an_earlier_identity_is_one_of_the_same_process() {
+fn earlier_identity_has_the_same_process_and_lower_generation() {
     let first = peer(Vec::new());
     let second = foca::Identity::renew(&first).unwrap();
     assert!(first.is_earlier_identity_of(&second));
--- a/src/peers/membership/admission.rs
+++ b/src/peers/membership/admission.rs
@@ -27,8 +27,8 @@
 pub(in crate::peers) enum DropReason {
     Foreign,
     Malformed,
-    Flood,
-    Crowd,
+    RateLimited,
+    TooManyPeers,
 }
 
 /// Bounds the rate of what is read, and counts what is dropped.
@@ -50,7 +50,7 @@
         self.tokens = (self.tokens + elapsed * DATAGRAMS_PER_SECOND).min(DATAGRAMS_PER_SECOND);
         self.refilled_at = now;
         if self.tokens < 1.0 {
-            self.drop(DropReason::Flood);
+            self.drop(DropReason::RateLimited);
             return false;
         }
         self.tokens -= 1.0;
@@ -61,8 +61,8 @@
         let count = match reason {
             DropReason::Foreign => &mut self.dropped.foreign,
             DropReason::Malformed => &mut self.dropped.malformed,
-            DropReason::Flood => &mut self.dropped.rate_limited,
-            DropReason::Crowd => &mut self.dropped.too_many_peers,
+            DropReason::RateLimited => &mut self.dropped.rate_limited,
+            DropReason::TooManyPeers => &mut self.dropped.too_many_peers,
         };
         *count += 1;
     }
--- a/src/peers/membership/admission/tests.rs
+++ b/src/peers/membership/admission/tests.rs
@@ -15,7 +15,7 @@
     admission.drop(DropReason::Foreign);
     admission.drop(DropReason::Malformed);
     admission.drop(DropReason::Malformed);
-    admission.drop(DropReason::Crowd);
+    admission.drop(DropReason::TooManyPeers);
     assert_eq!(
         admission.dropped(),
         DroppedDatagrams { foreign: 1, malformed: 2, rate_limited: 0, too_many_peers: 1 }
--- a/src/peers/membership/applying.rs
+++ b/src/peers/membership/applying.rs
@@ -4,7 +4,7 @@
 
 use super::engine::{EngineEffects, MemberChange};
 use super::timers::TimerEvent;
-use super::{digest, micros, names, Membership, PeerStatus};
+use super::{digest, micros, name_conflict, Membership, PeerStatus};
 use crate::peers::identity::Peer;
 use crate::peers::{Micros, Output};
 
@@ -17,23 +17,23 @@
     }
 
     /// A probe was not answered in time and goes by way of relays: the next one begins when their answers had their time.
-    fn extend_probe_by_relays(&mut self, now: Micros) {
+    fn delay_next_probe_for_relays(&mut self, now: Micros) {
         let least = micros(self.config.probe_interval.saturating_sub(self.config.probe_timeout));
-        self.next_probe_at = now + self.round_trips.relay_timeout(least);
+        self.next_probe_at = now + self.round_trips.indirect_timeout(least);
     }
 
     /// Carries out what the engine asked for.
     pub(super) fn apply(&mut self, now: Micros, effects: EngineEffects, out: &mut Vec<Output>) {
         let changed = effects.changes_members();
         self.incarnation = effects.incarnation.unwrap_or(self.incarnation);
-        let extension = effects.probed().map_or(0, |peer| self.probe_extension(peer));
-        if effects.asks_relays() {
-            self.extend_probe_by_relays(now);
+        let extension = effects.probe_target().map_or(0, |peer| self.probe_extension(peer));
+        if effects.requests_indirect_probe() {
+            self.delay_next_probe_for_relays(now);
         }
         for (after, timer) in effects.timers {
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
                 self.suspicions_changed = true;
-                self.own_suspicions.add(member_id.clone(), *incarnation);
+                self.suspect_notifier.add(member_id.clone(), *incarnation);
             }
             let extension = match timer {
                 Timer::SendIndirectProbe { .. } | Timer::ProbeRandomMember(_) => extension,
@@ -42,28 +42,28 @@
             self.timers.add(now + micros(after) + extension, TimerEvent::Engine(timer));
         }
         if effects.rejoined {
-            let before = std::mem::replace(&mut self.me, self.engine.identity().clone());
-            self.members.set_own(Some(&before), &self.me);
+            let before = std::mem::replace(&mut self.local_peer, self.engine.identity().clone());
+            self.members.set_local(Some(&before), &self.local_peer);
             out.push(Output::Rejoined);
         }
-        self.changes.add(now, effects.changes.len());
+        self.change_rate.add(now, effects.changes.len());
         let mut arrived = Vec::new();
         for change in effects.changes {
             match change {
                 MemberChange::Replaced(peer) => {
-                    self.members.replace(&peer);
+                    self.members.replace_identity(&peer);
                     self.replaced.push(peer.clone());
                     arrived.push(peer);
                 }
                 MemberChange::Down(peer) => {
-                    let standing = match self.farewells.has(&peer) {
+                    let standing = match self.leave_messages.contains(&peer) {
                         true => PeerStatus::Left,
                         false => PeerStatus::Lost,
                     };
-                    self.set_standing(now, peer, standing, out);
+                    self.set_status(now, peer, standing, out);
                 }
                 MemberChange::Up(peer) => {
-                    self.set_standing(now, peer.clone(), PeerStatus::Present, out);
+                    self.set_status(now, peer.clone(), PeerStatus::Present, out);
                     arrived.push(peer);
                 }
             }
@@ -76,29 +76,29 @@
         self.send(now, effects.messages, out);
         if changed {
             self.suspicions_changed = true;
-            self.judge(now, out);
+            self.evaluate_agreement(now, out);
         }
     }
 
     /// The engine's times follow the number of peers, and of those in doubt.
     pub(super) fn adapt_engine(&mut self) {
         let suspects = self.members.counts().suspected;
-        let settings = self.config.engine(self.engine.num_members() + 1, suspects, self.plan);
+        let settings = self.config.engine_config(self.engine.num_members() + 1, suspects, self.gossip_plan);
         // What differs are times and numbers that may change at any moment.
         let _ = self.engine.set_config(settings);
     }
 
-    pub(super) fn set_standing(
+    pub(super) fn set_status(
         &mut self,
         now: Micros,
         peer: Peer,
         standing: PeerStatus,
         out: &mut Vec<Output>,
     ) {
-        if standing.is_gone() {
+        if standing.is_departed() {
             self.agreement.forget(&peer.address);
         }
-        if self.members.set(now, &peer, standing) {
+        if self.members.set_status(now, &peer, standing) {
             out.push(Output::StatusChanged { peer, status: standing });
         }
     }
@@ -107,9 +107,9 @@
         if self.left {
             return;
         }
-        let Some(conflict) = names::find_conflict(&self.me, arrived.iter()) else { return };
+        let Some(conflict) = name_conflict::find_conflict(&self.local_peer, arrived.iter()) else { return };
         let yields = conflict.yields;
-        out.push(Output::NameConflict { other: conflict.by, yields });
+        out.push(Output::NameConflict { other: conflict.other, yields });
         if yields {
             self.leave(now, out);
         }
@@ -117,14 +117,14 @@
 
     pub(super) fn update_view(&mut self, now: Micros) {
         let digest = self.members.digest().whole();
-        debug_assert_eq!(digest, self.summed_digest(), "the digest is kept up with each change");
-        self.agreement.set_view(now, digest, self.nodes());
+        debug_assert_eq!(digest, self.recomputed_digest(), "the digest is kept up with each change");
+        self.agreement.set_local_view(now, digest, self.nodes());
     }
 
     /// The digest of what the engine holds, summed anew.
-    pub(super) fn summed_digest(&self) -> u64 {
+    pub(super) fn recomputed_digest(&self) -> u64 {
         let nodes = self.engine.iter_members().map(foca::Member::id).chain([self.engine.identity()]);
         let counted = nodes.filter(|peer| !peer.observer);
-        counted.fold(0, |sum, peer| sum.wrapping_add(digest::life_hash(peer)))
+        counted.fold(0, |sum, peer| sum.wrapping_add(digest::identity_hash(peer)))
     }
 }
--- a/src/peers/membership/count.rs
+++ b/src/peers/membership/count.rs
@@ -32,65 +32,65 @@
 #[derive(Clone, Debug)]
 pub struct EffectiveNodeCount {
     rules: NodeCountRules,
-    in_force: u32,
+    current: u32,
     /// Counts that were in force, and until when each is remembered; the last one stands.
-    largest: VecDeque<(Micros, u32)>,
+    past_counts: VecDeque<(Micros, u32)>,
     /// Fewer nodes, agreed since then without a break.
-    fewer: Option<(Micros, u32)>,
+    decrease: Option<(Micros, u32)>,
 }
 
 impl EffectiveNodeCount {
     /// Begins with the configured number, as if it had been agreed.
     pub fn new(rules: NodeCountRules, configured: u32) -> Self {
-        Self { rules, in_force: configured.max(1), largest: VecDeque::new(), fewer: None }
+        Self { rules, current: configured.max(1), past_counts: VecDeque::new(), decrease: None }
     }
 
     /// The count in force.
     pub fn get(&self) -> u32 {
-        self.in_force
+        self.current
     }
 
     /// The least that may be in force now.
-    fn least(&mut self, now: Micros) -> u32 {
-        while self.largest.front().is_some_and(|(until, _)| *until <= now) {
-            self.largest.pop_front();
+    fn lower_bound(&mut self, now: Micros) -> u32 {
+        while self.past_counts.front().is_some_and(|(until, _)| *until <= now) {
+            self.past_counts.pop_front();
         }
-        let largest = self.largest.iter().map(|(_, count)| *count).max().unwrap_or(0).max(self.in_force);
+        let largest = self.past_counts.iter().map(|(_, count)| *count).max().unwrap_or(0).max(self.current);
         (f64::from(largest) * self.rules.min_fraction).ceil() as u32
     }
 
     fn set(&mut self, now: Micros, count: u32) {
         let memory = u64::try_from(self.rules.peak_window.as_micros()).unwrap_or(u64::MAX);
-        self.largest.push_back((now.saturating_add(memory), self.in_force));
-        self.in_force = count;
+        self.past_counts.push_back((now.saturating_add(memory), self.current));
+        self.current = count;
     }
 
     /// What the node sees now: so many nodes, itself among them, and whether that is agreed. Whether the count in force
     /// has changed.
     pub fn observe(&mut self, now: Micros, seen: u32, agreed: bool) -> bool {
         let seen = seen.max(1);
-        if seen >= self.in_force {
-            self.fewer = None;
-            let more = seen > self.in_force;
+        if seen >= self.current {
+            self.decrease = None;
+            let more = seen > self.current;
             if more {
                 self.set(now, seen);
             }
             return more;
         }
         if !agreed {
-            self.fewer = None;
+            self.decrease = None;
             return false;
         }
         // The most that was seen since the view was agreed.
-        let (since, most) = self.fewer.map_or((now, seen), |(since, most)| (since, most.max(seen)));
-        self.fewer = Some((since, most));
+        let (since, most) = self.decrease.map_or((now, seen), |(since, most)| (since, most.max(seen)));
+        self.decrease = Some((since, most));
         let hold = u64::try_from(self.rules.decrease_delay.as_micros()).unwrap_or(u64::MAX);
         if now < since.saturating_add(hold) {
             return false;
         }
-        let count = most.max(self.least(now));
-        self.fewer = Some((now, seen));
-        let fewer = count < self.in_force;
+        let count = most.max(self.lower_bound(now));
+        self.decrease = Some((now, seen));
+        let fewer = count < self.current;
         if fewer {
             self.set(now, count);
         }
--- a/src/peers/membership/engine.rs
+++ b/src/peers/membership/engine.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::farewells::Farewells;
+use super::leave_messages::LeaveMessages;
 use super::traffic::TrafficKind;
 use crate::peers::identity::Peer;
 
 /// The SWIM engine.
-pub(super) type Engine = Foca<Peer, PostcardCodec, SmallRng, Farewells>;
+pub(super) type Engine = Foca<Peer, PostcardCodec, SmallRng, LeaveMessages>;
 
 /// A message of the engine to a peer.
 pub(super) struct EngineMessage {
@@ -19,14 +19,14 @@
     /// The number of a probe that its reader answers itself.
     pub probe: Option<foca::ProbeNumber>,
     /// Its reader is to probe another one.
-    pub asks_relay: bool,
+    pub is_indirect_request: bool,
     pub payload: Vec<u8>,
 }
 
 impl EngineMessage {
     /// A message that is no probe of the engine's own.
     pub fn new(to: SocketAddr, kind: TrafficKind, payload: Vec<u8>) -> Self {
-        Self { to, kind, probe: None, asks_relay: false, payload }
+        Self { to, kind, probe: None, is_indirect_request: false, payload }
     }
 }
 
@@ -57,7 +57,7 @@
     }
 
     /// Whom a probe that begins is for.
-    pub fn probed(&self) -> Option<&Peer> {
+    pub fn probe_target(&self) -> Option<&Peer> {
         self.timers.iter().find_map(|(_, timer)| match timer {
             Timer::SendIndirectProbe { probed_id, .. } => Some(probed_id),
             _ => None,
@@ -65,12 +65,12 @@
     }
 
     /// Whether a probe goes by way of relays.
-    pub fn asks_relays(&self) -> bool {
-        self.messages.iter().any(|message| message.asks_relay)
+    pub fn requests_indirect_probe(&self) -> bool {
+        self.messages.iter().any(|message| message.is_indirect_request)
     }
 
     /// Whether a member went down.
-    pub fn takes_away(&self) -> bool {
+    pub fn removes_members(&self) -> bool {
         self.changes.iter().any(|change| matches!(change, MemberChange::Down(_)))
     }
 }
@@ -94,7 +94,7 @@
             self.incarnation = Some(header.src_incarnation);
             message.kind = TrafficKind::of(&header.message);
             message.probe = probe_number(&header.message);
-            message.asks_relay = matches!(header.message, foca::Message::PingReq { .. });
+            message.is_indirect_request = matches!(header.message, foca::Message::PingReq { .. });
         }
         self.messages.push(message);
     }
--- a/src/peers/membership/gossip.rs
+++ b/src/peers/membership/gossip.rs
@@ -4,28 +4,28 @@
 
 /// Copies of one piece of news that a node sends while little changes. Each copy reaches another node at random, so that
 /// one in `e` to this power is missed; repair brings the rest.
-const COPIES: u8 = 10;
+const MAX_TRANSMISSIONS: u8 = 10;
 /// While much changes news is mostly pulled by repair, which sends nobody what it has.
-const COPIES_IN_BURST: u8 = 1;
+const MAX_TRANSMISSIONS_IN_BURST: u8 = 1;
 /// Peers that are told at once.
 const FAN_OUT: usize = 3;
 const FAN_OUT_IN_BURST: usize = 1;
 /// Pieces of news that may wait to be passed on; what comes beyond them is left to repair.
-const BACKLOG: usize = 32;
-const BACKLOG_IN_BURST: usize = 4;
+const MAX_BACKLOG: usize = 32;
+const MAX_BACKLOG_IN_BURST: usize = 4;
 /// More changes than this, of late, are a burst.
-const BURST: f64 = 32.0;
+const BURST_CHANGES: f64 = 32.0;
 /// Half of the changes are forgotten in this time.
-const HALF_LIFE: f64 = 750_000.0;
+const HALF_LIFE_US: f64 = 750_000.0;
 
 /// What holds now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct GossipPlan {
-    pub copies: u8,
+    pub max_transmissions: u8,
     pub fan_out: usize,
-    pub backlog: usize,
+    pub max_backlog: usize,
     /// Pieces of news on one message at the most.
-    pub news_on_message: usize,
+    pub updates_per_message: usize,
 }
 
 /// Follows how much changes.
@@ -47,26 +47,29 @@
 
     /// Whether much changes.
     pub fn is_burst(&self, now: Micros) -> bool {
-        self.recent(now) > BURST
+        self.recent(now) > BURST_CHANGES
     }
 
     pub fn plan(&self, now: Micros) -> GossipPlan {
         match self.is_burst(now) {
             true => GossipPlan {
-                copies: COPIES_IN_BURST,
+                max_transmissions: MAX_TRANSMISSIONS_IN_BURST,
                 fan_out: FAN_OUT_IN_BURST,
-                backlog: BACKLOG_IN_BURST,
-                news_on_message: BACKLOG_IN_BURST,
+                max_backlog: MAX_BACKLOG_IN_BURST,
+                updates_per_message: MAX_BACKLOG_IN_BURST,
+            },
+            false => GossipPlan {
+                max_transmissions: MAX_TRANSMISSIONS,
+                fan_out: FAN_OUT,
+                max_backlog: MAX_BACKLOG,
+                updates_per_message: usize::MAX,
             },
-            false => {
-                GossipPlan { copies: COPIES, fan_out: FAN_OUT, backlog: BACKLOG, news_on_message: usize::MAX }
-            }
         }
     }
 
     fn recent(&self, now: Micros) -> f64 {
         let elapsed = now.saturating_sub(self.at) as f64;
-        self.changes * (-elapsed / HALF_LIFE).exp2()
+        self.changes * (-elapsed / HALF_LIFE_US).exp2()
     }
 }
 
--- a/src/peers/membership/gossip/tests.rs
+++ b/src/peers/membership/gossip/tests.rs
@@ -9,6 +9,6 @@
     }
     rate.add(60_000_000, 40);
     assert!(rate.is_burst(60_000_000));
-    assert!(rate.plan(60_000_000).copies < rate.plan(70_000_000).copies);
+    assert!(rate.plan(60_000_000).max_transmissions < rate.plan(70_000_000).max_transmissions);
     assert!(!rate.is_burst(70_000_000));
 }
--- a/src/peers/membership/inbound.rs
+++ b/src/peers/membership/inbound.rs
@@ -7,7 +7,7 @@
 
 use std::borrow::Cow;
 
-use super::members::{MemberTable, Word};
+use super::members::{MemberTable, ReportedState};
 use crate::peers::identity::Peer;
 
 /// A word on one member.
@@ -77,17 +77,17 @@
 }
 
 /// Whether an update may change what the engine holds. It is remembered as given to the engine.
-pub(super) fn is_news(table: &mut MemberTable, update: &MemberUpdate) -> bool {
+pub(super) fn is_new_update(table: &mut MemberTable, update: &MemberUpdate) -> bool {
     let peer = update.id();
     if update.state() == State::Down {
         let held = table.get(&peer.address);
         return held.is_none_or(|held| match held.peer == *peer {
-            true => !held.standing.is_gone(),
+            true => !held.status.is_departed(),
             false => peer.supersedes(&held.peer),
         });
     }
     let suspected = update.state() == State::Suspect;
-    table.hear_word(peer, Word { incarnation: update.incarnation(), suspected })
+    table.record_report(peer, ReportedState { incarnation: update.incarnation(), suspected })
 }
 
 /// A message of the engine with no more than so many of its updates.
--- a/src/peers/membership/inbound/tests.rs
+++ b/src/peers/membership/inbound/tests.rs
@@ -57,8 +57,8 @@
 #[test]
 fn the_engine_is_spared_what_it_knows() {
     let mut table = MemberTable::new();
-    table.set(1, &peer(1, 5), PeerStatus::Present);
-    table.set(1, &peer(2, 5), PeerStatus::Lost);
+    table.set_status(1, &peer(1, 5), PeerStatus::Present);
+    table.set_status(1, &peer(2, 5), PeerStatus::Lost);
     let down = |host, order| Member::down(peer(host, order));
     for (update, news) in [
         (Member::alive(peer(1, 5)), false),
@@ -73,7 +73,7 @@
         (Member::new(peer(1, 5), 0, State::Suspect), true),
         (Member::new(peer(1, 5), 0, State::Suspect), false),
     ] {
-        assert_eq!(is_news(&mut table, &update), news, "{update:?}");
+        assert_eq!(is_new_update(&mut table, &update), news, "{update:?}");
     }
 }
 
--- a/src/peers/membership/joining.rs
+++ b/src/peers/membership/joining.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 /// Waits before seeds are asked again while nobody is there: the first, doubled up to the longest.
-const FIRST_WAIT: Duration = Duration::from_millis(250);
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+const INITIAL_WAIT: Duration = Duration::from_millis(250);
+const MAX_WAIT: Duration = Duration::from_secs(5);
 /// Seeds or remembered peers that are asked at once.
-const WIDTH: usize = 3;
+const MAX_CONTACTS: usize = 3;
 /// A node that has company still asks a seed this often: two fleets that never met find each other.
-const WAIT_IN_COMPANY: Duration = Duration::from_secs(20);
+const CONNECTED_WAIT: Duration = Duration::from_secs(20);
 /// Whom to ask now, and when to ask again.
 pub(super) struct JoinAttempt {
     pub addresses: Vec<SocketAddr>,
@@ -19,10 +19,10 @@
 
 /// What is known of somebody at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Acquaintance {
+pub(super) enum KnownNode {
     Present,
     /// It was present once.
-    Past,
+    Absent,
 }
 
 /// Seeds, and the wait between attempts.
@@ -33,7 +33,7 @@
 
 impl Joining {
     pub fn new(seeds: Vec<SocketAddr>) -> Self {
-        Self { seeds, wait: FIRST_WAIT }
+        Self { seeds, wait: INITIAL_WAIT }
     }
 
     /// The next attempt. `known`: nodes that were met.
@@ -41,7 +41,7 @@
         &mut self,
         me: SocketAddr,
         alone: bool,
-        known: &BTreeMap<SocketAddr, Acquaintance>,
+        known: &BTreeMap<SocketAddr, KnownNode>,
         random: &mut fastrand::Rng,
     ) -> JoinAttempt {
         let mut among = self.seeds.clone();
@@ -51,11 +51,11 @@
         among.retain(|address| *address != me);
         if !alone {
             // One that is there already has nothing to tell.
-            among.retain(|address| known.get(address) != Some(&Acquaintance::Present));
+            among.retain(|address| known.get(address) != Some(&KnownNode::Present));
         }
         random.shuffle(&mut among);
-        among.truncate(WIDTH);
-        self.wait = if alone { (self.wait * 2).min(LONGEST_WAIT) } else { WAIT_IN_COMPANY };
+        among.truncate(MAX_CONTACTS);
+        self.wait = if alone { (self.wait * 2).min(MAX_WAIT) } else { CONNECTED_WAIT };
         // Drawn apart: peers that start together don't ask together.
         JoinAttempt { addresses: among, wait: self.wait.mul_f64(0.5 + random.f64()) }
     }
--- a/src/peers/membership/joining/tests.rs
+++ b/src/peers/membership/joining/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn one_alone_asks_seeds_and_those_it_knew_with_longer_and_longer_waits() {
     let mut joining = Joining::new(vec![address(1), address(2)]);
-    let known = BTreeMap::from([(address(3), Acquaintance::Past)]);
+    let known = BTreeMap::from([(address(3), KnownNode::Absent)]);
     let mut random = fastrand::Rng::with_seed(1);
     let mut nominal = Duration::from_millis(500);
     for _ in 0..8 {
@@ -16,16 +16,16 @@
         addresses.sort();
         assert_eq!(addresses, [address(2), address(3)]);
         assert!((nominal / 2..nominal * 3 / 2).contains(&attempt.wait), "{:?}", attempt.wait);
-        nominal = (nominal * 2).min(LONGEST_WAIT);
+        nominal = (nominal * 2).min(MAX_WAIT);
     }
 }
 
 #[test]
 fn in_company_absent_seeds_alone_are_asked() {
     let mut joining = Joining::new(vec![address(1), address(2)]);
-    let known = [(address(1), Acquaintance::Present), (address(3), Acquaintance::Past)].into();
+    let known = [(address(1), KnownNode::Present), (address(3), KnownNode::Absent)].into();
     let mut random = fastrand::Rng::with_seed(1);
     let attempt = joining.attempt(address(9), false, &known, &mut random);
     assert_eq!(attempt.addresses, [address(2)]);
-    assert!(attempt.wait >= WAIT_IN_COMPANY / 2);
+    assert!(attempt.wait >= CONNECTED_WAIT / 2);
 }
--- a/src/peers/membership/mod.rs
+++ b/src/peers/membership/mod.rs
@@ -7,12 +7,12 @@
 mod count;
 mod digest;
 mod engine;
-mod farewells;
 mod gossip;
 mod inbound;
 mod joining;
+mod leave_messages;
 mod members;
-mod names;
+mod name_conflict;
 mod pacing;
 mod receiving;
 pub(super) mod repair;
@@ -40,50 +40,50 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::envelope::LifeId;
+use super::envelope::IdentityKey;
 use super::identity::Peer;
 use super::{Micros, Output};
-use agreement::{AgreementTracker, SETTLED};
+use agreement::{AgreementTracker, SETTLE_TIME};
 use engine::{Engine, EngineEffects};
-use farewells::{Farewell, Farewells};
 use gossip::{ChangeRate, GossipPlan};
-use joining::{Acquaintance, Joining};
+use joining::{Joining, KnownNode};
+use leave_messages::{LeaveMessage, LeaveMessages};
 use members::{Member, MemberTable};
 use pacing::Pacing;
 use repair::Repair;
 use round_trips::RoundTrips;
-use suspicion::{GoneReports, OwnSuspicions};
+use suspicion::{DepartureReports, SuspectNotifier};
 use timers::{TimerEvent, TimerQueue};
 
 /// Peers that are held at the most; datagrams of others are dropped.
-const MOST_PEERS: usize = 20_000;
+const MAX_PEERS: usize = 20_000;
 /// A timer that comes later than this was not late: the process stood still, and its own time with it.
-const ASLEEP: Micros = 700_000;
+const SUSPEND_THRESHOLD: Micros = 700_000;
 /// Agreement is reviewed this often.
-const REVIEW_EVERY: Micros = SETTLED / 4;
+const REVIEW_INTERVAL: Micros = SETTLE_TIME / 4;
 
 /// One process's part in the membership.
 pub(super) struct Membership {
     config: PeersConfig,
-    me: Peer,
+    local_peer: Peer,
     engine: Engine,
-    farewells: Farewells,
+    leave_messages: LeaveMessages,
     /// How many of them the members were held against.
-    farewells_seen: u64,
+    leave_messages_seen: u64,
     random: fastrand::Rng,
     timers: TimerQueue,
     members: MemberTable,
     /// The engine may suspect others than the table says.
     suspicions_changed: bool,
-    own_suspicions: OwnSuspicions,
-    gone_reports: GoneReports,
+    suspect_notifier: SuspectNotifier,
+    departure_reports: DepartureReports,
     /// Of this process, as the engine last told it.
     incarnation: foca::Incarnation,
     joining: Joining,
     agreement: AgreementTracker,
-    count: EffectiveNodeCount,
-    changes: ChangeRate,
-    plan: GossipPlan,
+    node_count: EffectiveNodeCount,
+    change_rate: ChangeRate,
+    gossip_plan: GossipPlan,
     repair: Repair,
     pacing: Pacing,
     round_trips: RoundTrips,
@@ -101,30 +101,30 @@
         let random = SmallRng::seed_from_u64(seed);
         let changes = ChangeRate::new(now);
         let plan = changes.plan(now);
-        let settings = config.engine(config.configured_nodes as usize, 0, plan);
-        let farewells = Farewells::default();
-        let handler = farewells.clone();
+        let settings = config.engine_config(config.configured_nodes as usize, 0, plan);
+        let leave_messages = LeaveMessages::default();
+        let handler = leave_messages.clone();
         let engine =
             Engine::with_custom_broadcast(me.clone(), settings, random, foca::PostcardCodec, handler);
         let memory = micros(config.node_count.peak_window);
         let mut members = MemberTable::new();
-        members.set_own(None, &me);
+        members.set_local(None, &me);
         let mut membership = Self {
             engine,
-            farewells,
-            farewells_seen: 0,
+            leave_messages,
+            leave_messages_seen: 0,
             random: fastrand::Rng::with_seed(!seed),
             timers: TimerQueue::default(),
             members,
             suspicions_changed: false,
-            own_suspicions: OwnSuspicions::default(),
-            gone_reports: GoneReports::default(),
+            suspect_notifier: SuspectNotifier::default(),
+            departure_reports: DepartureReports::default(),
             incarnation: 0,
             joining: Joining::new(config.seeds.clone()),
             agreement: AgreementTracker::new(now, memory),
-            count: EffectiveNodeCount::new(config.node_count, config.configured_nodes),
-            changes,
-            plan,
+            node_count: EffectiveNodeCount::new(config.node_count, config.configured_nodes),
+            change_rate: changes,
+            gossip_plan: plan,
             repair: Repair::new(seed.rotate_left(32)),
             pacing: Pacing::new(now),
             round_trips: RoundTrips::default(),
@@ -133,28 +133,28 @@
             replaced: Vec::new(),
             left: false,
             config,
-            me,
+            local_peer: me,
         };
         membership.update_view(now);
         membership.timers.add(now, TimerEvent::Join);
-        membership.timers.add(now + REVIEW_EVERY, TimerEvent::Review);
+        membership.timers.add(now + REVIEW_INTERVAL, TimerEvent::Review);
         membership
     }
 
     /// When it wants to be called next.
-    pub fn next(&self) -> Option<Micros> {
-        self.timers.next()
+    pub fn next_timer(&self) -> Option<Micros> {
+        self.timers.next_due()
     }
 
     /// Itself, as others know it.
-    pub fn me(&self) -> &Peer {
+    pub fn local_peer(&self) -> &Peer {
         self.engine.identity()
     }
 
     /// Nodes that are present, itself among them.
     fn nodes(&self) -> u32 {
         let counts = self.members.counts();
-        (counts.present + counts.suspected) as u32 + u32::from(!self.me.observer)
+        (counts.present + counts.suspected) as u32 + u32::from(!self.local_peer.observer)
     }
 
     /// Whether it has left, or gave its name up.
@@ -163,10 +163,10 @@
     }
 
     /// Whether this life of a node is present, as far as is known here.
-    pub fn is_present(&self, life: &LifeId) -> bool {
+    pub fn is_present(&self, life: &IdentityKey) -> bool {
         let held = self.members.get(&life.address);
         held.is_some_and(|held| {
-            !held.peer.observer && !held.standing.is_gone() && LifeId::from(&held.peer) == *life
+            !held.peer.observer && !held.status.is_departed() && IdentityKey::from(&held.peer) == *life
         })
     }
 
@@ -177,11 +177,11 @@
 
     /// Time has come for what is due.
     pub fn run_timers(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let late = now.saturating_sub(self.next().unwrap_or(now));
-        if late > ASLEEP {
+        let late = now.saturating_sub(self.next_timer().unwrap_or(now));
+        if late > SUSPEND_THRESHOLD {
             // Its own clock stood still: all that was due is due as much later.
             self.timers.postpone_all(late);
-            self.agreement.after_sleep(now);
+            self.agreement.reset_after_suspend(now);
             self.round_trips.forget_outstanding();
         }
         while let Some(event) = self.timers.pop_due(now) {
@@ -190,7 +190,7 @@
                 TimerEvent::Join => self.join(now, out),
                 TimerEvent::Review => {
                     self.review(now, out);
-                    self.timers.add(now + REVIEW_EVERY, TimerEvent::Review);
+                    self.timers.add(now + REVIEW_INTERVAL, TimerEvent::Review);
                 }
             }
         }
@@ -199,7 +199,8 @@
     fn engine_timer(&mut self, now: Micros, timer: Timer<Peer>, out: &mut Vec<Output>) {
         self.follow_change_rate(now);
         if matches!(timer, Timer::PeriodicGossip(_)) {
-            if let Some(wait) = self.pacing.gossip_wait(now, self.plan.fan_out, self.engine.updates_backlog())
+            if let Some(wait) =
+                self.pacing.gossip_wait(now, self.gossip_plan.fan_out, self.engine.updates_backlog())
             {
                 return self.timers.add(now + wait, TimerEvent::Engine(timer));
             }
@@ -213,11 +214,11 @@
             _ => None,
         };
         if let Some(suspect) = &suspect {
-            self.own_suspicions.remove(suspect);
+            self.suspect_notifier.remove(suspect);
         }
         // An error is a probe whose timers came out of order, after a sleep: the next one begins anew.
         let _ = self.engine.handle_timer(timer, &mut effects);
-        if !effects.takes_away() {
+        if !effects.removes_members() {
             // foca 2.0 tells a suspect that it is gone even where that one has cleared itself meanwhile: it would come back
             // under a new identity, and every view with it.
             effects.messages.retain(|message| Some(message.to) != suspect);
@@ -227,9 +228,9 @@
 
     /// The engine passes on less while much changes.
     fn follow_change_rate(&mut self, now: Micros) {
-        let plan = self.changes.plan(now);
-        if plan != self.plan {
-            self.plan = plan;
+        let plan = self.change_rate.plan(now);
+        if plan != self.gossip_plan {
+            self.gossip_plan = plan;
             self.adapt_engine();
         }
     }
@@ -239,7 +240,8 @@
         if self.left {
             return;
         }
-        let farewell = Farewell { address: self.me().address, order: self.me().generation };
+        let farewell =
+            LeaveMessage { address: self.local_peer().address, generation: self.local_peer().generation };
         let mut effects = EngineEffects::default();
         if let Ok(data) = postcard::to_stdvec(&farewell) {
             // Errors would be of its size alone, which is bounded.
@@ -256,7 +258,7 @@
     pub fn summary(&self) -> ViewSummary {
         ViewSummary {
             nodes: self.nodes(),
-            effective_nodes: self.count.get(),
+            effective_nodes: self.node_count.get(),
             agreement: self.agreement.agreement(),
             digest: self.agreement.digest(),
         }
@@ -270,11 +272,11 @@
     /// What it sees.
     pub fn view(&self, now: Micros) -> View {
         View {
-            peers: self.members.seen(now),
+            peers: self.members.records(now),
             nodes: self.nodes(),
-            effective_nodes: self.count.get(),
+            effective_nodes: self.node_count.get(),
             agreement: self.agreement.agreement(),
-            agreement_age_us: self.agreement.lasts(now),
+            agreement_age_us: self.agreement.agreement_age(now),
             digest: self.agreement.digest(),
             differing: self.agreement.differing(now),
         }
@@ -283,18 +285,18 @@
     /// Asks seeds, and peers that it knew, for whoever is there; for as long as it lives.
     fn join(&mut self, now: Micros, out: &mut Vec<Output>) {
         let alone = self.engine.num_members() == 0;
-        let me = self.me().address;
+        let me = self.local_peer().address;
         let nodes = self.members.iter().filter(|member| !member.peer.observer);
-        let acquaintance = |member: &Member| match member.standing {
-            PeerStatus::Present => Acquaintance::Present,
-            _ => Acquaintance::Past,
+        let acquaintance = |member: &Member| match member.status {
+            PeerStatus::Present => KnownNode::Present,
+            _ => KnownNode::Absent,
         };
         let known: BTreeMap<_, _> = nodes.map(|member| (member.peer.address, acquaintance(member))).collect();
         let attempt = self.joining.attempt(me, alone, &known, &mut self.random);
         let mut effects = EngineEffects::default();
         for address in attempt.addresses {
             // Errors would be of its size alone.
-            let _ = self.engine.announce(unknown_peer(address), &mut effects);
+            let _ = self.engine.announce(placeholder_peer(address), &mut effects);
         }
         self.apply(now, effects, out);
         self.timers.add(now + micros(attempt.wait), TimerEvent::Join);
@@ -305,8 +307,8 @@
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
 
-/// Whoever is there, as an announcement names it.
-fn unknown_peer(address: SocketAddr) -> Peer {
+/// Whoever is there, as an announcement name_conflict it.
+fn placeholder_peer(address: SocketAddr) -> Peer {
     Peer { address, generation: 0, salt: 0, observer: false, name: String::new(), metadata: Vec::new() }
 }
 
--- a/src/peers/membership/names.rs
+++ b/src/peers/membership/name_conflict.rs
@@ -4,7 +4,7 @@
 
 /// Another process that claims this one's name.
 pub(super) struct NameConflict {
-    pub by: Peer,
+    pub other: Peer,
     /// Whether this process gives way.
     pub yields: bool,
 }
@@ -19,5 +19,5 @@
     }
     let by = members.find(|peer| !peer.observer && peer.name == me.name)?.clone();
     let yields = by.supersedes(me);
-    Some(NameConflict { by, yields })
+    Some(NameConflict { other: by, yields })
 }
--- a/src/peers/membership/pacing/tests.rs
+++ b/src/peers/membership/pacing/tests.rs
@@ -9,7 +9,7 @@
     for tick in 0..2_000u64 {
         let now = tick * SECOND / 100;
         // A quiet time first saves up, a storm of requests follows.
-        if now > 8 * SECOND && pacing.try_take(now, Pace::Answer, 1_000) {
+        if now > 8 * SECOND && pacing.try_take(now, RepairPriority::Response, 1_000) {
             sent.push((now, 1_000));
         }
     }
@@ -24,13 +24,13 @@
 #[test]
 fn comparisons_wait_before_gossip_and_gossip_before_answers() {
     let mut pacing = Pacing::new(0);
-    while pacing.try_take(0, Pace::Comparison, 100) {}
+    while pacing.try_take(0, RepairPriority::Comparison, 100) {}
     assert_eq!(pacing.gossip_wait(0, 1, 10), None);
     while pacing.gossip_wait(0, 1, 10).is_none() {
-        pacing.take(0, 480);
+        pacing.charge(0, 480);
     }
-    assert!(pacing.try_take(0, Pace::Answer, 100));
-    assert!(pacing.gossip_wait(0, 1, 10) >= Some(GOSSIP_WAITS.0));
+    assert!(pacing.try_take(0, RepairPriority::Response, 100));
+    assert!(pacing.gossip_wait(0, 1, 10) >= Some(GOSSIP_WAIT_RANGE.0));
     assert_eq!(pacing.gossip_wait(0, 1, 0), None, "without news nothing is sent");
 }
 
@@ -38,14 +38,14 @@
 fn lists_become_short_and_then_end_while_bytes_lack() {
     let mut pacing = Pacing::new(0);
     assert_eq!(pacing.members_in_feed(0, false, 1_200), Some(usize::MAX));
-    pacing.take(0, DEPTH as usize - 1_000);
-    assert_eq!(pacing.members_in_feed(0, false, 1_200), Some(FEW_MEMBERS));
-    pacing.take(0, 1_000);
+    pacing.charge(0, BURST_BYTES as usize - 1_000);
+    assert_eq!(pacing.members_in_feed(0, false, 1_200), Some(REDUCED_LIST_MEMBERS));
+    pacing.charge(0, 1_000);
     assert_eq!(pacing.members_in_feed(0, false, 1_200), None);
     assert_eq!(pacing.members_in_feed(2 * SECOND, false, 1_200), Some(usize::MAX));
     assert_eq!(
         pacing.members_in_feed(2 * SECOND, true, 1_200),
-        Some(FEW_MEMBERS),
+        Some(REDUCED_LIST_MEMBERS),
         "it asks for what it lacks"
     );
 }
--- a/src/peers/membership/receiving.rs
+++ b/src/peers/membership/receiving.rs
@@ -5,9 +5,9 @@
 use super::admission::DropReason;
 use super::engine::EngineEffects;
 use super::inbound::{self, InboundMessage, MemberUpdate};
-use super::members::{Member, Word};
-use super::{Membership, MOST_PEERS};
-use crate::peers::envelope::{Envelope, Extension, EXTENSIONS_SINCE};
+use super::members::{Member, ReportedState};
+use super::{Membership, MAX_PEERS};
+use crate::peers::envelope::{Envelope, Extension, EXTENSIONS_MIN_SCHEMA};
 use crate::peers::{Micros, Output};
 
 impl Membership {
@@ -18,15 +18,15 @@
         envelope: &Envelope,
         out: &mut Vec<Output>,
     ) -> Result<(), DropReason> {
-        if envelope.schema >= EXTENSIONS_SINCE && envelope.payload.is_empty() {
-            return self.receive_without_engine(now, envelope, out);
+        if envelope.schema >= EXTENSIONS_MIN_SCHEMA && envelope.payload.is_empty() {
+            return self.receive_extensions(now, envelope, out);
         }
         // Who sent it is in it: behind a relay or a mapping it comes from elsewhere.
         let message = InboundMessage::decode(envelope.payload).ok_or(DropReason::Malformed)?;
         let sender = message.header.src.address;
         let known = self.members.get(&sender).is_some();
-        if self.members.len() >= MOST_PEERS && !known {
-            return Err(DropReason::Crowd);
+        if self.members.len() >= MAX_PEERS && !known {
+            return Err(DropReason::TooManyPeers);
         }
         self.follow_change_rate(now);
         let schema = envelope.schema;
@@ -46,17 +46,17 @@
         out: &mut Vec<Output>,
     ) -> Result<(), DropReason> {
         let source = &message.header.src;
-        let is_gone = |held: &Member| held.standing.is_gone() && !source.supersedes(&held.peer);
-        let sender_is_gone = self.members.get(&source.address).is_some_and(is_gone);
+        let is_departed = |held: &Member| held.status.is_departed() && !source.supersedes(&held.peer);
+        let sender_is_gone = self.members.get(&source.address).is_some_and(is_departed);
         // The engine would not take them from one that it holds for gone, nor what was meant for another life.
-        let accepted = message.header.dst == *self.me() && !sender_is_gone;
+        let accepted = message.header.dst == *self.local_peer() && !sender_is_gone;
         if accepted {
-            let word = Word { incarnation: message.header.src_incarnation, suspected: false };
-            self.suspicions_changed |= self.members.hear_word(source, word);
+            let word = ReportedState { incarnation: message.header.src_incarnation, suspected: false };
+            self.suspicions_changed |= self.members.record_report(source, word);
         }
         // A list of members is news to its reader alone.
         let pass_on = message.header.message != foca::Message::Feed;
-        let own = self.me().address;
+        let own = self.local_peer().address;
         let updates = if accepted { std::mem::take(&mut message.updates) } else { Vec::new() };
         let (of_me, of_others): (Vec<_>, Vec<_>) =
             updates.into_iter().partition(|update| update.id().address == own);
@@ -64,8 +64,8 @@
         self.apply_updates(now, of_me, pass_on, out);
         // One that was taken for gone has another identity since: whoever asks for the earlier one hears that from the
         // answer. Without an answer it would suspect a living process.
-        if message.is_probe() && message.header.dst.is_earlier_identity_of(self.me()) {
-            message.readdress(self.me().clone());
+        if message.is_probe() && message.header.dst.is_earlier_identity_of(self.local_peer()) {
+            message.readdress(self.local_peer().clone());
         }
         if let foca::Message::Ack(number) = message.header.message {
             let source = &message.header.src;
@@ -77,9 +77,9 @@
         let answers = std::mem::take(&mut effects.messages);
         self.apply(now, effects, out);
         // What is answered depends on what its reader reads.
-        self.members.heard(&message.header.src.address, schema);
+        self.members.set_schema(&message.header.src.address, schema);
         self.send(now, answers, out);
-        // Farewells rode on the message: those that they are of are known for having left.
+        // LeaveMessages rode on the message: those that they are of are known for having left.
         self.apply_updates(now, of_others, pass_on, out);
         handled.map_err(|_| DropReason::Malformed)
     }
@@ -95,10 +95,10 @@
         let mut effects = EngineEffects::default();
         for update in updates {
             let known = self.members.get(&update.id().address).is_some();
-            let room = known || self.members.len() < MOST_PEERS;
-            if room && inbound::is_news(&mut self.members, &update) {
+            let room = known || self.members.len() < MAX_PEERS;
+            if room && inbound::is_new_update(&mut self.members, &update) {
                 self.suspicions_changed |= update.state() != State::Down;
-                let pass_on = pass_on && self.engine.updates_backlog() < self.plan.backlog;
+                let pass_on = pass_on && self.engine.updates_backlog() < self.gossip_plan.max_backlog;
                 // Errors would be of its size alone.
                 let _ = self.engine.apply_many([update].into_iter(), pass_on, &mut effects);
             }
@@ -107,7 +107,7 @@
     }
 
     /// A datagram with extensions alone: it tells its sender's digest, where that one is present.
-    pub(super) fn receive_without_engine(
+    pub(super) fn receive_extensions(
         &mut self,
         now: Micros,
         envelope: &Envelope,
@@ -119,7 +119,7 @@
             return Ok(());
         }
         self.agreement.report(now, sender.address, envelope.digest);
-        self.members.heard(&sender.address, envelope.schema);
+        self.members.set_schema(&sender.address, envelope.schema);
         for extension in extensions {
             if let Extension::Repair(message) = extension {
                 self.receive_repair(now, sender.address, message, out);
--- a/src/peers/membership/repair/tests.rs
+++ b/src/peers/membership/repair/tests.rs
@@ -9,12 +9,12 @@
     SocketAddr::from(([10, 0, a, b], 7_946))
 }
 
-fn peer(host: u16, order: u64) -> Peer {
-    // As long as a real one.
-    let order = 1_700_000_000_000_000 + (order << 30);
+fn peer(host: u16, generation: u64) -> Peer {
+    // A realistic value, as the encoded size depends on it.
+    let generation = 1_700_000_000_000_000 + (generation << 30);
     Peer {
         address: address(host),
-        generation: order,
+        generation,
         salt: 1,
         observer: false,
         name: format!("n{host}"),
@@ -22,7 +22,7 @@
     }
 }
 
-/// One node's view, and its side of the repair.
+/// One node's view and repair state.
 struct Side {
     me: Peer,
     members: MemberTable,
@@ -34,45 +34,50 @@
     fn new(host: u16, others: impl Iterator<Item = Peer>) -> Self {
         let me = peer(host, 1);
         let mut members = MemberTable::new();
-        members.set_own(None, &me);
+        members.set_local(None, &me);
         for other in others {
-            members.set(0, &other, PeerStatus::Present);
+            members.set_status(0, &other, PeerStatus::Present);
         }
         Self { me, members, repair: Repair::new(u64::from(host)), bytes: 0 }
     }
 
     fn view(&self) -> LocalView<'_> {
-        LocalView { me: &self.me, members: &self.members, nodes: self.members.len() as u32 + 1 }
+        LocalView { local_peer: &self.me, members: &self.members, nodes: self.members.len() as u32 + 1 }
     }
 
     fn present(&self) -> BTreeSet<(SocketAddr, u64)> {
         let present = self.members.iter().filter(|member| member.is_counted());
-        let lives = present.map(|member| (member.peer.address, member.peer.generation));
-        lives.chain([(self.me.address, self.me.generation)]).collect()
+        let identities = present.map(|member| (member.peer.address, member.peer.generation));
+        identities.chain([(self.me.address, self.me.generation)]).collect()
     }
 
     fn receive(&mut self, now: Micros, message: RepairMessage) -> Vec<RepairMessage> {
-        let view = LocalView { me: &self.me, members: &self.members, nodes: self.members.len() as u32 + 1 };
+        let view =
+            LocalView { local_peer: &self.me, members: &self.members, nodes: self.members.len() as u32 + 1 };
         let outcome = self.repair.receive(now, view, message);
         for record in outcome.alive {
-            self.members.set(now, &record.peer, PeerStatus::Present);
+            self.members.set_status(now, &record.peer, PeerStatus::Present);
         }
-        for (peer, left) in outcome.gone {
-            let standing = if left { PeerStatus::Left } else { PeerStatus::Lost };
-            self.members.set(now, &peer, standing);
+        for (peer, left) in outcome.departed {
+            let status = if left { PeerStatus::Left } else { PeerStatus::Lost };
+            self.members.set_status(now, &peer, status);
         }
-        for datagram in outcome.answers.iter().chain(&outcome.lists) {
+        for datagram in outcome.responses.iter().chain(&outcome.lists) {
             let bytes: usize = datagram.iter().map(encoded_length).sum();
-            assert!(bytes <= MESSAGE_BYTES, "{bytes} bytes in one datagram");
+            assert!(bytes <= MAX_DATAGRAM_MESSAGE_BYTES, "{bytes} bytes in one datagram");
             self.bytes += bytes;
         }
-        outcome.answers.into_iter().chain(outcome.lists).flatten().collect()
+        outcome.responses.into_iter().chain(outcome.lists).flatten().collect()
     }
 }
 
-/// One comparison: the first asks the second, and all that follows from it.
+/// Runs one comparison, in which the first side requests the second's digests, until no message is left.
 fn compare(now: Micros, first: &mut Side, second: &mut Side) {
-    let view = LocalView { me: &second.me, members: &second.members, nodes: second.members.len() as u32 + 1 };
+    let view = LocalView {
+        local_peer: &second.me,
+        members: &second.members,
+        nodes: second.members.len() as u32 + 1,
+    };
     let digests = second.repair.digests(view);
     second.bytes += encoded_length(&digests);
     let mut to_first = vec![digests];
@@ -92,10 +97,10 @@
 }
 
 #[test]
-fn one_comparison_brings_a_few_differences_both_ways() {
+fn one_comparison_transfers_a_few_differences_both_ways() {
     let mut one = Side::new(1, others(2..500));
     let mut two = Side::new(2, others(3..503).chain(others(1..2)));
-    one.members.set(0, &peer(77, 9), PeerStatus::Present);
+    one.members.set_status(0, &peer(77, 9), PeerStatus::Present);
     compare(SECOND, &mut one, &mut two);
     assert_eq!(one.present(), two.present());
     assert_eq!(one.present().len(), 502);
@@ -103,7 +108,7 @@
 }
 
 #[test]
-fn views_that_are_alike_cost_their_digests_alone() {
+fn comparing_equal_views_sends_only_digests() {
     let mut one = Side::new(1, others(2..500));
     let mut two = Side::new(2, others(3..500).chain(others(1..2)));
     compare(SECOND, &mut one, &mut two);
@@ -111,27 +116,27 @@
 }
 
 #[test]
-fn who_is_gone_is_told_with_whether_it_said_farewell() {
+fn departed_members_are_reported_as_left_or_lost() {
     let mut one = Side::new(1, others(2..100));
     let mut two = Side::new(2, others(3..100).chain(others(1..2)));
-    two.members.set(0, &peer(50, 1), PeerStatus::Lost);
-    two.members.set(0, &peer(60, 1), PeerStatus::Left);
+    two.members.set_status(0, &peer(50, 1), PeerStatus::Lost);
+    two.members.set_status(0, &peer(60, 1), PeerStatus::Left);
     compare(SECOND, &mut one, &mut two);
-    let standing = |host| one.members.get(&address(host)).map(|member| member.standing);
-    assert_eq!((standing(50), standing(60)), (Some(PeerStatus::Lost), Some(PeerStatus::Left)));
-    // The other way round, too.
-    one.members.set(0, &peer(70, 1), PeerStatus::Lost);
+    let status = |host| one.members.get(&address(host)).map(|member| member.status);
+    assert_eq!((status(50), status(60)), (Some(PeerStatus::Lost), Some(PeerStatus::Left)));
+    // In the opposite direction as well.
+    one.members.set_status(0, &peer(70, 1), PeerStatus::Lost);
     compare(2 * SECOND, &mut one, &mut two);
-    assert_eq!(two.members.get(&address(70)).map(|member| member.standing), Some(PeerStatus::Lost));
+    assert_eq!(two.members.get(&address(70)).map(|member| member.status), Some(PeerStatus::Lost));
 }
 
 #[test]
-fn renewed_identities_are_told_by_their_tags_alone() {
+fn renewed_identities_are_recognized_by_tag_without_records() {
     let renewed = |peer: Peer| foca::Identity::renew(&peer).unwrap();
     let mut one = Side::new(1, others(2..300));
     let mut two = Side::new(2, others(3..300).map(renewed).chain(others(1..2)));
     for host in 3..300 {
-        one.members.set(0, &peer(host, 1), PeerStatus::Lost);
+        one.members.set_status(0, &peer(host, 1), PeerStatus::Lost);
     }
     for round in 0..20 {
         compare(round * SECOND, &mut one, &mut two);
@@ -141,7 +146,7 @@
 }
 
 #[test]
-fn one_that_knows_nobody_else_learns_all_with_little_more_than_their_bytes() {
+fn empty_view_is_filled_with_less_than_twice_the_bytes_of_the_records() {
     let mut one = Side::new(1, others(2..3));
     let mut two = Side::new(2, others(3..1_000).chain(others(1..2)));
     let mut rounds = 0;
@@ -155,50 +160,53 @@
 }
 
 #[test]
-fn an_older_life_is_not_asked_for_and_its_holder_learns_the_later_one() {
+fn older_identity_is_not_requested_and_its_holder_receives_the_later_one() {
     let mut one = Side::new(1, others(2..100));
     let mut two = Side::new(2, others(3..100).chain(others(1..2)));
     for host in 50..60 {
-        two.members.set(0, &peer(host, 5), PeerStatus::Present);
+        two.members.set_status(0, &peer(host, 5), PeerStatus::Present);
     }
-    let lives = LivesByPart {
-        partition: Partition::for_nodes(0),
-        parts: vec![PartLives { part: 0, lives: one.view().tags(Partition::for_nodes(0), 0) }],
+    let tags = TagsByBucket {
+        bucketing: Bucketing::for_nodes(0),
+        buckets: vec![BucketTags { bucket: 0, tags: one.view().tags(Bucketing::for_nodes(0), 0) }],
     };
-    let answers = two.receive(SECOND, RepairMessage::Lives(lives));
-    assert!(matches!(&answers[..], [RepairMessage::Offered(offered)] if offered.len() == 10), "{answers:?}");
+    let responses = two.receive(SECOND, RepairMessage::Tags(tags));
+    assert!(
+        matches!(&responses[..], [RepairMessage::Offer(offered)] if offered.len() == 10),
+        "{responses:?}"
+    );
     compare(SECOND, &mut one, &mut two);
     assert_eq!(one.present(), two.present());
 }
 
 #[test]
-fn what_the_engine_refused_is_not_asked_for_again_for_long() {
+fn identity_rejected_by_the_engine_is_not_requested_again_for_long() {
     let mut one = Side::new(1, others(2..3));
-    let tag = LifeTag::of(&peer(9, 1));
-    assert!(one.repair.may_want(0, tag));
-    assert!(!one.repair.may_want(WANTED_FOR - 1, tag), "it is on its way");
-    assert!(one.repair.may_want(WANTED_FOR, tag));
-    one.repair.refused(WANTED_FOR, &peer(9, 1));
-    assert!(!one.repair.may_want(REFUSED_FOR, tag));
-    one.repair.expire(2 * REFUSED_FOR);
+    let tag = IdentityTag::of(&peer(9, 1));
+    assert!(one.repair.try_request(0, tag));
+    assert!(!one.repair.try_request(REQUEST_RETRY_AFTER - 1, tag), "a record was already requested");
+    assert!(one.repair.try_request(REQUEST_RETRY_AFTER, tag));
+    one.repair.mark_rejected(REQUEST_RETRY_AFTER, &peer(9, 1));
+    assert!(!one.repair.try_request(REJECTED_RETRY_AFTER, tag));
+    one.repair.expire(2 * REJECTED_RETRY_AFTER);
     assert!(one.repair.not_before.is_empty());
 }
 
 #[test]
-fn what_no_peer_would_send_has_no_answer() {
+fn invalid_messages_get_no_response() {
     let mut one = Side::new(1, others(2..100));
-    let partition = Partition::for_nodes(100);
-    let out_of_range = || LivesByPart {
-        partition,
-        parts: vec![PartLives { part: partition.parts(), lives: vec![LifeTag::of(&peer(9, 1))] }],
+    let bucketing = Bucketing::for_nodes(100);
+    let out_of_range = || TagsByBucket {
+        bucketing,
+        buckets: vec![BucketTags { bucket: bucketing.buckets(), tags: vec![IdentityTag::of(&peer(9, 1))] }],
     };
-    let too_many = PartDigests { partition, nonce: 1, digests: vec![1; 1_000] };
+    let too_many = BucketDigests { bucketing, nonce: 1, digests: vec![1; 1_000] };
     for message in [
         RepairMessage::Digests(too_many),
-        RepairMessage::Lives(out_of_range()),
-        RepairMessage::Wanted(out_of_range()),
-        RepairMessage::Offered(out_of_range()),
-        RepairMessage::Gone(GoneLives { left: false, lives: out_of_range() }),
+        RepairMessage::Tags(out_of_range()),
+        RepairMessage::RequestRecords(out_of_range()),
+        RepairMessage::Offer(out_of_range()),
+        RepairMessage::Departed(DepartedTags { left: false, tags: out_of_range() }),
     ] {
         assert_eq!(one.receive(SECOND, message), []);
     }
--- a/src/peers/membership/repairing.rs
+++ b/src/peers/membership/repairing.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 
 use super::engine::EngineEffects;
-use super::farewells::Farewell;
 use super::inbound::MemberUpdate;
-use super::pacing::Pace;
+use super::leave_messages::LeaveMessage;
+use super::pacing::RepairPriority;
 use super::repair::{LocalView, Record, RepairMessage, RepairOutcome};
-use super::suspicion::GoneReport;
+use super::suspicion::DepartureVerdict;
 use super::traffic::TrafficKind;
 use super::{Membership, PeerStatus};
-use crate::peers::envelope::{Extension, EXTENSIONS_SINCE};
+use crate::peers::envelope::{Extension, EXTENSIONS_MIN_SCHEMA};
 use crate::peers::{Micros, Output};
 
 /// Peers whose view differed when they were last heard are asked to compare; so many at once. While much changes, each
@@ -27,10 +27,11 @@
         message: RepairMessage,
         out: &mut Vec<Output>,
     ) {
-        if message == RepairMessage::Compare {
+        if message == RepairMessage::RequestDigests {
             return self.answer_comparison(now, from, out);
         }
-        let view = LocalView { me: self.engine.identity(), members: &self.members, nodes: self.nodes() };
+        let view =
+            LocalView { local_peer: self.engine.identity(), members: &self.members, nodes: self.nodes() };
         let outcome = self.repair.receive(now, view, message);
         self.carry_out_repair(now, from, outcome, out);
     }
@@ -39,12 +40,15 @@
     pub(super) fn answer_comparison(&mut self, now: Micros, to: SocketAddr, out: &mut Vec<Output>) {
         let mut messages = Vec::new();
         let differs = self.agreement.differs(&to);
-        if differs && self.pacing.allows(now, Pace::Comparison) && self.repair.may_answer(now) {
-            let view = LocalView { me: self.engine.identity(), members: &self.members, nodes: self.nodes() };
+        if differs && self.pacing.allows(now, RepairPriority::Comparison) && self.repair.try_send_digests(now)
+        {
+            let view =
+                LocalView { local_peer: self.engine.identity(), members: &self.members, nodes: self.nodes() };
             messages.push(self.repair.digests(view));
         }
-        let pace = if messages.is_empty() { Pace::Spare } else { Pace::Comparison };
-        self.send_repair(now, to, pace, messages, out);
+        let priority =
+            if messages.is_empty() { RepairPriority::Optional } else { RepairPriority::Comparison };
+        self.send_repair(now, to, priority, messages, out);
     }
 
     pub(super) fn carry_out_repair(
@@ -54,30 +58,31 @@
         outcome: RepairOutcome,
         out: &mut Vec<Output>,
     ) {
-        for messages in outcome.answers {
-            self.send_repair(now, from, Pace::Answer, messages, out);
+        for messages in outcome.responses {
+            self.send_repair(now, from, RepairPriority::Response, messages, out);
         }
         for messages in outcome.lists {
-            self.send_repair(now, from, Pace::Listing, messages, out);
+            self.send_repair(now, from, RepairPriority::Listing, messages, out);
         }
-        let round_trip = self.round_trips.longest();
+        let round_trip = self.round_trips.max_timeout();
         let mut updates = Vec::new();
         let mut asked = Vec::new();
-        for (peer, left) in outcome.gone {
+        for (peer, left) in outcome.departed {
             if left {
-                self.farewells.remember(Farewell { address: peer.address, order: peer.generation });
+                self.leave_messages
+                    .insert(LeaveMessage { address: peer.address, generation: peer.generation });
             }
-            let own = peer.address == self.me().address;
+            let own = peer.address == self.local_peer().address;
             let held = self.members.get(&peer.address);
-            let suspected = held.is_some_and(|held| held.standing == PeerStatus::Suspected);
-            match self.gone_reports.report(now, &peer, suspected, round_trip) {
+            let suspected = held.is_some_and(|held| held.status == PeerStatus::Suspected);
+            match self.departure_reports.report(now, &peer, suspected, round_trip) {
                 _ if left || own => updates.push(MemberUpdate::down(peer)),
-                GoneReport::Believe => updates.push(MemberUpdate::down(peer)),
-                GoneReport::Ask => asked.push(peer),
-                GoneReport::Wait => {}
+                DepartureVerdict::Accept => updates.push(MemberUpdate::down(peer)),
+                DepartureVerdict::Verify => asked.push(peer),
+                DepartureVerdict::Wait => {}
             }
         }
-        self.ask_whether_gone(now, asked, out);
+        self.verify_departures(now, asked, out);
         let peers: Vec<_> = outcome.alive.iter().map(|record| record.peer.clone()).collect();
         let alive = |record: Record| MemberUpdate::new(record.peer, record.incarnation, State::Alive);
         updates.extend(outcome.alive.into_iter().map(alive));
@@ -90,7 +95,7 @@
             let taken =
                 self.members.get(&peer.address).is_some_and(|held| held.is_counted() && held.peer == peer);
             if !taken {
-                self.repair.refused(now, &peer);
+                self.repair.mark_rejected(now, &peer);
             }
         }
     }
@@ -100,13 +105,13 @@
         &mut self,
         now: Micros,
         to: SocketAddr,
-        pace: Pace,
+        priority: RepairPriority,
         messages: Vec<RepairMessage>,
         out: &mut Vec<Output>,
     ) {
         let extensions = messages.into_iter().map(Extension::Repair).collect();
-        let Some(data) = self.extensions_datagram(&to, extensions) else { return };
-        if self.pacing.try_take(now, pace, data.len()) {
+        let Some(data) = self.repair_datagram(&to, extensions) else { return };
+        if self.pacing.try_take(now, priority, data.len()) {
             self.traffic.add(TrafficKind::Repair, data.len());
             out.push(Output::Send { to, data });
         }
@@ -114,15 +119,21 @@
 
     /// Asks some of those whose view differed to compare: the answer tells a present digest, and where views differ.
     pub(super) fn compare_views(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let mut among = self.agreement.to_be_compared(now);
+        let mut among = self.agreement.due_for_comparison(now);
         among.sort_unstable();
         self.random.shuffle(&mut among);
-        let width = if self.changes.is_burst(now) { COMPARE_WIDTH_IN_BURST } else { COMPARE_WIDTH };
+        let width = if self.change_rate.is_burst(now) { COMPARE_WIDTH_IN_BURST } else { COMPARE_WIDTH };
         for address in among.into_iter().take(width) {
-            self.agreement.asked(now, &address);
+            self.agreement.mark_asked(now, &address);
             match self.members.get(&address).map(|held| held.schema) {
-                Some(schema) if schema >= EXTENSIONS_SINCE => {
-                    self.send_repair(now, address, Pace::Comparison, vec![RepairMessage::Compare], out);
+                Some(schema) if schema >= EXTENSIONS_MIN_SCHEMA => {
+                    self.send_repair(
+                        now,
+                        address,
+                        RepairPriority::Comparison,
+                        vec![RepairMessage::RequestDigests],
+                        out,
+                    );
                 }
                 Some(1) => self.ask_for_list(now, address, out),
                 // One that was not heard yet will be.
--- a/src/peers/membership/round_trips.rs
+++ b/src/peers/membership/round_trips.rs
@@ -10,22 +10,22 @@
 use crate::peers::Micros;
 
 /// A probe of a region that was never measured waits so long at the least: more than between any two regions of the plan.
-const UNMEASURED: Micros = 500_000;
+const UNMEASURED_TIMEOUT: Micros = 500_000;
 /// No probe waits longer.
-const LONGEST: Micros = 2_000_000;
+const MAX_TIMEOUT: Micros = 2_000_000;
 /// Parts of the difference that a sample moves the mean and the variation by (RFC 6298, section 2).
-const MEAN_PART: f64 = 1.0 / 8.0;
-const VARIATION_PART: f64 = 1.0 / 4.0;
+const MEAN_GAIN: f64 = 1.0 / 8.0;
+const VARIATION_GAIN: f64 = 1.0 / 4.0;
 /// A probe waits the mean, this part of it, and so many times the variation.
-const MARGIN: f64 = 0.25;
-const VARIATIONS: f64 = 4.0;
+const MEAN_MARGIN: f64 = 0.25;
+const VARIATION_FACTOR: f64 = 4.0;
 /// The way by a relay is two round trips: to the relay, and from there to the peer, which may be farther than any region is
-/// from here. Twice the longest is enough for one of several relays.
-const RELAYED: Micros = 2;
+/// from here. Twice the max_timeout is enough for one of several relays.
+const RELAY_ROUND_TRIPS: Micros = 2;
 /// Probes whose answers are waited for: an answer that comes after the next probe has begun tells the time as well.
-const MOST_OUTSTANDING: usize = 8;
+const MAX_OUTSTANDING: usize = 8;
 /// Regions whose times are kept.
-const MOST_REGIONS: usize = 64;
+const MAX_REGIONS: usize = 64;
 
 /// Smoothed round trips to one region, in microseconds.
 #[derive(Clone, Copy, Debug)]
@@ -40,12 +40,12 @@
     }
 
     fn add(&mut self, sample: f64) {
-        self.variation += ((sample - self.mean).abs() - self.variation) * VARIATION_PART;
-        self.mean += (sample - self.mean) * MEAN_PART;
+        self.variation += ((sample - self.mean).abs() - self.variation) * VARIATION_GAIN;
+        self.mean += (sample - self.mean) * MEAN_GAIN;
     }
 
     fn timeout(&self) -> Micros {
-        (self.mean * (1.0 + MARGIN) + self.variation * VARIATIONS) as Micros
+        (self.mean * (1.0 + MEAN_MARGIN) + self.variation * VARIATION_FACTOR) as Micros
     }
 }
 
@@ -66,7 +66,7 @@
 impl RoundTrips {
     /// A probe was sent.
     pub fn sent(&mut self, now: Micros, to: SocketAddr, number: foca::ProbeNumber) {
-        if self.outstanding.len() >= MOST_OUTSTANDING {
+        if self.outstanding.len() >= MAX_OUTSTANDING {
             self.outstanding.pop_front();
         }
         self.outstanding.push_back(OutstandingProbe { to, number, sent: now });
@@ -80,7 +80,7 @@
         let sample = now.saturating_sub(probe.sent) as f64;
         if let Some(estimate) = self.by_region.get_mut(region) {
             estimate.add(sample);
-        } else if self.by_region.len() < MOST_REGIONS {
+        } else if self.by_region.len() < MAX_REGIONS {
             self.by_region.insert(region.to_owned(), Estimate::first(sample));
         }
     }
@@ -93,19 +93,19 @@
     /// How long an answer from this region may take; `least`: no less than this.
     pub fn timeout(&self, region: &str, least: Micros) -> Micros {
         let measured = self.by_region.get(region).map(Estimate::timeout);
-        let timeout = measured.unwrap_or_else(|| self.longest().max(UNMEASURED));
-        timeout.min(LONGEST).max(least)
+        let timeout = measured.unwrap_or_else(|| self.max_timeout().max(UNMEASURED_TIMEOUT));
+        timeout.min(MAX_TIMEOUT).max(least)
     }
 
     /// How long the way to a peer by a relay and back may take: relays are drawn from all regions, and so may be as far from
     /// the peer as any region is from here.
-    pub fn relay_timeout(&self, least: Micros) -> Micros {
-        let longest = if self.by_region.is_empty() { UNMEASURED } else { self.longest() };
-        (longest * RELAYED).min(LONGEST).max(least)
+    pub fn indirect_timeout(&self, least: Micros) -> Micros {
+        let max_timeout = if self.by_region.is_empty() { UNMEASURED_TIMEOUT } else { self.max_timeout() };
+        (max_timeout * RELAY_ROUND_TRIPS).min(MAX_TIMEOUT).max(least)
     }
 
-    /// The longest that an answer from any region that was measured may take.
-    pub fn longest(&self) -> Micros {
+    /// The max_timeout that an answer from any region that was measured may take.
+    pub fn max_timeout(&self) -> Micros {
         self.by_region.values().map(Estimate::timeout).max().unwrap_or(0)
     }
 }
--- a/src/peers/membership/round_trips/tests.rs
+++ b/src/peers/membership/round_trips/tests.rs
@@ -35,10 +35,10 @@
 
 #[test]
 fn a_region_that_was_never_measured_waits_for_the_farthest_that_may_be() {
-    assert_eq!(RoundTrips::default().timeout("east", LEAST), UNMEASURED);
-    assert_eq!(measured("east", &[900; 20]).timeout("west", LEAST), UNMEASURED);
-    assert!(measured("east", &[700_000; 20]).timeout("west", LEAST) > UNMEASURED);
-    assert_eq!(measured("east", &[60_000_000; 20]).timeout("west", LEAST), LONGEST);
+    assert_eq!(RoundTrips::default().timeout("east", LEAST), UNMEASURED_TIMEOUT);
+    assert_eq!(measured("east", &[900; 20]).timeout("west", LEAST), UNMEASURED_TIMEOUT);
+    assert!(measured("east", &[700_000; 20]).timeout("west", LEAST) > UNMEASURED_TIMEOUT);
+    assert_eq!(measured("east", &[60_000_000; 20]).timeout("west", LEAST), MAX_TIMEOUT);
 }
 
 #[test]
@@ -56,10 +56,10 @@
     round_trips.sent(0, address(1), 1);
     round_trips.acknowledged(900, address(2), 1, "east");
     round_trips.acknowledged(900, address(1), 2, "east");
-    assert_eq!(round_trips.timeout("east", LEAST), UNMEASURED);
+    assert_eq!(round_trips.timeout("east", LEAST), UNMEASURED_TIMEOUT);
     round_trips.forget_outstanding();
     round_trips.acknowledged(900, address(1), 1, "east");
-    assert_eq!(round_trips.timeout("east", LEAST), UNMEASURED);
+    assert_eq!(round_trips.timeout("east", LEAST), UNMEASURED_TIMEOUT);
 }
 
 #[test]
@@ -71,6 +71,6 @@
         round_trips.sent(0, address(2), number);
         round_trips.acknowledged(1, address(1), number, &format!("region {probe}"));
     }
-    assert_eq!(round_trips.by_region.len(), MOST_REGIONS);
-    assert!(round_trips.outstanding.len() <= MOST_OUTSTANDING);
+    assert_eq!(round_trips.by_region.len(), MAX_REGIONS);
+    assert!(round_trips.outstanding.len() <= MAX_OUTSTANDING);
 }
--- a/src/peers/membership/sending.rs
+++ b/src/peers/membership/sending.rs
@@ -5,26 +5,28 @@
 use super::engine::EngineMessage;
 use super::traffic::TrafficKind;
 use super::{inbound, Membership};
-use crate::peers::envelope::{encode_extensions, Envelope, Extension, LifeId, EXTENSIONS_SINCE, SCHEMA};
+use crate::peers::envelope::{
+    encode_extensions, Envelope, Extension, IdentityKey, EXTENSIONS_MIN_SCHEMA, SCHEMA,
+};
 use crate::peers::{Micros, Output};
 
 impl Membership {
     /// Whether a peer reads extensions.
     pub fn reads_extensions(&self, address: &SocketAddr) -> bool {
-        self.members.get(address).is_some_and(|held| held.schema >= EXTENSIONS_SINCE)
+        self.members.get(address).is_some_and(|held| held.schema >= EXTENSIONS_MIN_SCHEMA)
     }
 
     /// A datagram with one extension, for one that is known to read it.
     pub fn extension_datagram(&self, extension: Extension) -> Option<Vec<u8>> {
-        self.datagram(&[], &[Extension::Sender(LifeId::from(self.me())), extension])
+        self.datagram(&[], &[Extension::Sender(IdentityKey::from(self.local_peer())), extension])
     }
 
     /// A datagram of extensions without a message of the engine, for one that reads them.
-    pub(super) fn extensions_datagram(&self, to: &SocketAddr, extensions: Vec<Extension>) -> Option<Vec<u8>> {
+    pub(super) fn repair_datagram(&self, to: &SocketAddr, extensions: Vec<Extension>) -> Option<Vec<u8>> {
         if !self.reads_extensions(to) {
             return None;
         }
-        let sender = [Extension::Sender(LifeId::from(self.me()))];
+        let sender = [Extension::Sender(IdentityKey::from(self.local_peer()))];
         let all: Vec<_> = sender.into_iter().chain(extensions).collect();
         self.datagram(&[], &all)
     }
@@ -40,13 +42,13 @@
                     most
                 }
                 TrafficKind::Probe | TrafficKind::Gossip => {
-                    self.pacing.news_on_message(now).min(self.plan.news_on_message)
+                    self.pacing.updates_per_message(now).min(self.gossip_plan.updates_per_message)
                 }
                 _ => usize::MAX,
             };
             payload = inbound::truncate_updates(&payload, most);
             if let Some(data) = self.datagram(&payload, &[]) {
-                self.pacing.take(now, data.len());
+                self.pacing.charge(now, data.len());
                 self.traffic.add(kind, data.len());
                 if let Some(number) = probe {
                     self.round_trips.sent(now, to, number);
@@ -65,7 +67,7 @@
             digest: self.agreement.digest(),
             nodes: self.nodes(),
             payload,
-            more: &more,
+            extension_bytes: &more,
         };
         envelope.encode()
     }
--- a/src/peers/membership/settings.rs
+++ b/src/peers/membership/settings.rs
@@ -11,14 +11,14 @@
 
 /// With more than this part of its nodes suspected, a node trusts its own eyes less: suspects have longer to speak up, as
 /// those that could vouch for them are missing too (Lifeguard's local health: Dadgar, Phillips, Currey, 2018).
-const MANY_SUSPECTS: f64 = 0.1;
+const MANY_SUSPECTS_FRACTION: f64 = 0.1;
 /// By so many times.
-const MANY_SUSPECTS_PATIENCE: f64 = 3.0;
+const MANY_SUSPECTS_TIMEOUT_FACTOR: f64 = 3.0;
 /// Peers that are asked to probe one that did not answer. At 5% lost datagrams a probe of a living peer fails once in 50,000 times
 /// by five of them (a tenth of the direct probes, and a fifth of the ways by way of each), once in 1,600 by three.
 const INDIRECT_PROBES: usize = 5;
 /// The largest message of the engine.
-pub(super) const LARGEST_PAYLOAD: usize = envelope::MAX_DATAGRAM_BYTES - envelope::OVERHEAD;
+pub(super) const MAX_ENGINE_PAYLOAD_BYTES: usize = envelope::MAX_DATAGRAM_BYTES - envelope::OVERHEAD_BYTES;
 
 /// How a peer takes part.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,20 +58,20 @@
 
 impl PeersConfig {
     /// The engine's settings in a cluster of so many.
-    pub(super) fn engine(&self, peers: usize, suspects: usize, gossip: GossipPlan) -> foca::Config {
+    pub(super) fn engine_config(&self, peers: usize, suspects: usize, gossip: GossipPlan) -> foca::Config {
         // Rounds until all have heard grow with the logarithm of their number (SWIM, section 4.1).
         let rounds = (peers.max(2) as f64).log10().max(1.0);
-        let many = suspects as f64 > MANY_SUSPECTS * peers as f64;
-        let patience = if many { MANY_SUSPECTS_PATIENCE } else { 1.0 };
+        let many = suspects as f64 > MANY_SUSPECTS_FRACTION * peers as f64;
+        let patience = if many { MANY_SUSPECTS_TIMEOUT_FACTOR } else { 1.0 };
         let suspect_for = self.probe_interval.mul_f64(self.suspicion_multiplier * rounds * patience);
         foca::Config {
             probe_period: self.probe_interval,
             probe_rtt: self.probe_timeout,
-            num_indirect_probes: number(INDIRECT_PROBES),
-            max_transmissions: NonZeroU8::new(gossip.copies).unwrap_or(NonZeroU8::MIN),
+            num_indirect_probes: non_zero(INDIRECT_PROBES),
+            max_transmissions: NonZeroU8::new(gossip.max_transmissions).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: suspect_for,
             remove_down_after: Some(Duration::from_secs(600)),
-            max_packet_size: number(LARGEST_PAYLOAD),
+            max_packet_size: non_zero(MAX_ENGINE_PAYLOAD_BYTES),
             notify_down_members: true,
             // What was lost on the way is repaired by comparison, not by lists.
             periodic_announce: None,
@@ -82,10 +82,10 @@
     }
 }
 
-fn number(number: usize) -> NonZeroUsize {
+fn non_zero(number: usize) -> NonZeroUsize {
     NonZeroUsize::new(number).unwrap_or(NonZeroUsize::MIN)
 }
 
 fn periodic(every: Duration, width: usize) -> Option<foca::PeriodicParams> {
-    Some(foca::PeriodicParams { frequency: every, num_members: number(width) })
+    Some(foca::PeriodicParams { frequency: every, num_members: non_zero(width) })
 }
--- a/src/peers/membership/suspicion.rs
+++ b/src/peers/membership/suspicion.rs
@@ -11,110 +11,122 @@
 use crate::peers::Micros;
 
 /// A suspect is told this often.
-const TELL_EVERY: Micros = 400_000;
+const NOTICE_INTERVAL: Micros = 400_000;
 /// So many at once: where many are suspected, most of them are gone or cut off.
-const TOLD_AT_ONCE: usize = 2;
+const MAX_NOTICES_AT_ONCE: usize = 2;
 
 /// One that is said to be gone answers within this time if it lives, and within the time of the longest round trip beside it.
-const ANSWER_WITHIN: Micros = 1_500_000;
+const ANSWER_TIMEOUT: Micros = 1_500_000;
 /// One that is not suspected here is asked this often before it is believed, as a question or its answer may be lost.
-const QUESTIONS: u8 = 2;
+const MAX_PROBES: u8 = 2;
 /// It is asked again after this time at the earliest, and the longest round trip.
-const ASK_AGAIN_AFTER: Micros = 700_000;
+const PROBE_RETRY_AFTER: Micros = 700_000;
 /// What was said longer ago is forgotten: the peer is asked again.
-const FORGET_AFTER: Micros = 10_000_000;
+const DEPARTURE_REPORT_TTL: Micros = 10_000_000;
 
 struct Suspicion {
     peer: Peer,
     incarnation: Incarnation,
-    told: Option<Micros>,
+    notified_at: Option<Micros>,
 }
 
 /// Without an outcome for so long, the news that a suspect cleared itself was missed: only the node whose probe failed
 /// ends a suspicion by time, after some 10 s at 2,120 nodes.
-const OUTCOME_MISSED: Micros = 12_000_000;
+const OUTCOME_TIMEOUT: Micros = 12_000_000;
 
-/// Those whom this node suspects by its own probes, or by the word of others for longer than a suspicion lasts.
+/// Those whom this node suspects by its own probes, or by the word of others for longer than a suspicion agreement_age.
 #[derive(Default)]
-pub(super) struct OwnSuspicions {
+pub(super) struct SuspectNotifier {
     by_address: BTreeMap<SocketAddr, Suspicion>,
 }
 
 /// Peers that others take for gone, and this node does not: they are asked before it is believed.
 #[derive(Default)]
-pub(super) struct GoneReports {
-    by_address: BTreeMap<SocketAddr, GoneClaim>,
+pub(super) struct DepartureReports {
+    by_address: BTreeMap<SocketAddr, DepartureReport>,
 }
 
 /// What others said of one life, and what this node did about it.
-struct GoneClaim {
+struct DepartureReport {
     peer: Peer,
-    since: Micros,
+    first_reported_at: Micros,
     /// Questions that this node itself sent, and when it sent the last one.
-    questions: u8,
-    asked: Micros,
+    probes_sent: u8,
+    last_probe_at: Micros,
 }
 
-impl GoneClaim {
-    fn has_had_its_time(&self, now: Micros, round_trip: Micros) -> bool {
-        now >= self.since + ANSWER_WITHIN + round_trip
+impl DepartureReport {
+    fn answer_deadline_passed(&self, now: Micros, round_trip: Micros) -> bool {
+        now >= self.first_reported_at + ANSWER_TIMEOUT + round_trip
     }
 
     /// Whether this node's own questions stayed without an answer. Others may have asked as well, but their word is the
     /// one in doubt.
     fn is_unanswered(&self, now: Micros, round_trip: Micros) -> bool {
-        let answer_is_due = now >= self.asked + ASK_AGAIN_AFTER + round_trip;
-        self.questions >= QUESTIONS && answer_is_due && self.has_had_its_time(now, round_trip)
+        let answer_is_due = now >= self.last_probe_at + PROBE_RETRY_AFTER + round_trip;
+        self.probes_sent >= MAX_PROBES && answer_is_due && self.answer_deadline_passed(now, round_trip)
     }
 
-    fn may_be_asked(&self, now: Micros, round_trip: Micros) -> bool {
-        let answer_is_due = now >= self.asked + ASK_AGAIN_AFTER + round_trip;
-        self.questions == 0 || (self.questions < QUESTIONS && answer_is_due)
+    fn may_be_probed(&self, now: Micros, round_trip: Micros) -> bool {
+        let answer_is_due = now >= self.last_probe_at + PROBE_RETRY_AFTER + round_trip;
+        self.probes_sent == 0 || (self.probes_sent < MAX_PROBES && answer_is_due)
     }
 }
 
 /// What to do with the word that a peer is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum GoneReport {
+pub(super) enum DepartureVerdict {
     /// It is news: the peer is to be asked.
-    Ask,
+    Verify,
     /// The peer was asked not long ago.
     Wait,
     /// The peer has had its time.
-    Believe,
+    Accept,
 }
 
-impl GoneReports {
+impl DepartureReports {
     /// One told that this life of a peer is gone. `suspected`: this node suspects that peer already, so that the two
     /// words are evidence of two kinds; a peer that is not suspected goes by this node's own questions alone. `round_trip`:
     /// the longest to any region.
-    pub fn report(&mut self, now: Micros, peer: &Peer, suspected: bool, round_trip: Micros) -> GoneReport {
+    pub fn report(
+        &mut self,
+        now: Micros,
+        peer: &Peer,
+        suspected: bool,
+        round_trip: Micros,
+    ) -> DepartureVerdict {
         let held = self.by_address.get(&peer.address);
-        let held = held.filter(|claim| claim.peer == *peer && now < claim.since + FORGET_AFTER);
+        let held =
+            held.filter(|claim| claim.peer == *peer && now < claim.first_reported_at + DEPARTURE_REPORT_TTL);
         let Some(claim) = held else {
-            let claim = GoneClaim { peer: peer.clone(), since: now, questions: 0, asked: now };
+            let claim = DepartureReport {
+                peer: peer.clone(),
+                first_reported_at: now,
+                probes_sent: 0,
+                last_probe_at: now,
+            };
             self.by_address.insert(peer.address, claim);
-            return GoneReport::Ask;
+            return DepartureVerdict::Verify;
         };
         match suspected {
-            true if claim.has_had_its_time(now, round_trip) => GoneReport::Believe,
-            false if claim.is_unanswered(now, round_trip) => GoneReport::Believe,
-            _ if claim.may_be_asked(now, round_trip) => GoneReport::Ask,
-            _ => GoneReport::Wait,
+            true if claim.answer_deadline_passed(now, round_trip) => DepartureVerdict::Accept,
+            false if claim.is_unanswered(now, round_trip) => DepartureVerdict::Accept,
+            _ if claim.may_be_probed(now, round_trip) => DepartureVerdict::Verify,
+            _ => DepartureVerdict::Wait,
         }
     }
 
     /// This node asked a peer.
-    pub fn asked(&mut self, now: Micros, peer: &Peer) {
+    pub fn mark_probed(&mut self, now: Micros, peer: &Peer) {
         let claim = self.by_address.get_mut(&peer.address);
         if let Some(claim) = claim.filter(|claim| claim.peer == *peer) {
-            (claim.questions, claim.asked) = (claim.questions.saturating_add(1), now);
+            (claim.probes_sent, claim.last_probe_at) = (claim.probes_sent.saturating_add(1), now);
         }
     }
 
     /// Forgets what is long ago.
     pub fn expire(&mut self, now: Micros) {
-        self.by_address.retain(|_, claim| now < claim.since + FORGET_AFTER);
+        self.by_address.retain(|_, claim| now < claim.first_reported_at + DEPARTURE_REPORT_TTL);
     }
 }
 
@@ -124,16 +136,16 @@
     pub payload: Vec<u8>,
 }
 
-impl OwnSuspicions {
+impl SuspectNotifier {
     /// A probe failed, and with it the way by others.
     pub fn add(&mut self, peer: Peer, incarnation: Incarnation) {
-        self.by_address.insert(peer.address, Suspicion { peer, incarnation, told: None });
+        self.by_address.insert(peer.address, Suspicion { peer, incarnation, notified_at: None });
     }
 
     /// One is suspected by the word of others, since then.
-    pub fn add_heard(&mut self, now: Micros, peer: &Peer, incarnation: Incarnation, since: Micros) {
-        if now >= since + OUTCOME_MISSED {
-            let suspicion = || Suspicion { peer: peer.clone(), incarnation, told: None };
+    pub fn add_reported(&mut self, now: Micros, peer: &Peer, incarnation: Incarnation, since: Micros) {
+        if now >= since + OUTCOME_TIMEOUT {
+            let suspicion = || Suspicion { peer: peer.clone(), incarnation, notified_at: None };
             self.by_address.entry(peer.address).or_insert_with(suspicion);
         }
     }
@@ -150,11 +162,12 @@
 
     /// Those that are to be told now, the one that waits longest first. `me`, `incarnation`: who tells.
     pub fn notices(&mut self, now: Micros, me: &Peer, incarnation: Incarnation) -> Vec<SuspicionNotice> {
-        let waits = |suspicion: &Suspicion| suspicion.told.is_none_or(|told| now >= told + TELL_EVERY);
+        let waits =
+            |suspicion: &Suspicion| suspicion.notified_at.is_none_or(|told| now >= told + NOTICE_INTERVAL);
         let mut due: Vec<_> = self.by_address.values_mut().filter(|suspicion| waits(suspicion)).collect();
-        due.sort_by_key(|suspicion| suspicion.told);
-        let notices = due.into_iter().take(TOLD_AT_ONCE).filter_map(|suspicion| {
-            suspicion.told = Some(now);
+        due.sort_by_key(|suspicion| suspicion.notified_at);
+        let notices = due.into_iter().take(MAX_NOTICES_AT_ONCE).filter_map(|suspicion| {
+            suspicion.notified_at = Some(now);
             let payload = notice(me, incarnation, suspicion)?;
             Some(SuspicionNotice { to: suspicion.peer.address, payload })
         });
@@ -169,7 +182,7 @@
 }
 
 /// A probe that tells a peer that others take it for gone: where it lives, its answer carries a later identity.
-pub(super) fn gone_notice(me: &Peer, incarnation: Incarnation, peer: &Peer) -> Option<SuspicionNotice> {
+pub(super) fn departure_notice(me: &Peer, incarnation: Incarnation, peer: &Peer) -> Option<SuspicionNotice> {
     let payload = probe_with(me, incarnation, Member::down(peer.clone()))?;
     Some(SuspicionNotice { to: peer.address, payload })
 }
--- a/src/peers/membership/timers.rs
+++ b/src/peers/membership/timers.rs
@@ -31,13 +31,13 @@
     }
 
     /// When the next one is due.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Micros> {
         self.pending.peek().map(|Reverse(pending)| pending.at)
     }
 
     /// Takes one out that is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<TimerEvent> {
-        if self.next()? > now {
+        if self.next_due()? > now {
             return None;
         }
         self.pending.pop().map(|Reverse(pending)| pending.event)
--- a/src/peers/membership/timers/tests.rs
+++ b/src/peers/membership/timers/tests.rs
@@ -16,10 +16,10 @@
     queue.add(20, TimerEvent::Join);
     queue.add(10, TimerEvent::Review);
     queue.add(10, TimerEvent::Join);
-    assert_eq!(queue.next(), Some(10));
+    assert_eq!(queue.next_due(), Some(10));
     assert_eq!(kinds(&mut queue, 9), [""; 0]);
     assert_eq!(kinds(&mut queue, 20), ["review", "join", "join"]);
-    assert_eq!(queue.next(), None);
+    assert_eq!(queue.next_due(), None);
 }
 
 #[test]
--- a/src/peers/membership/traffic.rs
+++ b/src/peers/membership/traffic.rs
@@ -16,7 +16,7 @@
     Announce,
     /// The answer: a part of the members.
     Feed,
-    /// Farewells, and the word to one that it is taken for gone.
+    /// LeaveMessages, and the word to one that it is taken for gone.
     Notice,
     /// Compares views and brings what one lacks.
     Repair,
--- a/src/peers/membership/view.rs
+++ b/src/peers/membership/view.rs
@@ -24,7 +24,7 @@
 
 impl PeerStatus {
     /// Whether it is gone.
-    pub(super) fn is_gone(self) -> bool {
+    pub(super) fn is_departed(self) -> bool {
         matches!(self, Self::Left | Self::Lost)
     }
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,14 +1,15 @@
-//! Membership among the nodes, sans-I/O: datagrams and time in; datagrams, times and news out. The engine is `foca`
-//! (SWIM with suspicion, incarnations and piggybacked dissemination: Das, Gupta, Motivala, "SWIM: Scalable
-//! Weakly-consistent Infection-style Process Group Membership Protocol", 2002), the codec `postcard`. What is added here:
-//! one cluster's datagrams apart from another's, views that can be compared, a process that was asleep, names claimed
-//! twice, and the count of nodes that may be relied on. `docs/membership.md` tells it all.
+//! Membership among the nodes, sans-I/O: the caller passes in datagrams and the time, and carries out the outputs:
+//! datagrams to send, wake-up times and notifications. The engine is `foca` (SWIM with suspicion, incarnations and
+//! piggybacked dissemination: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
+//! Membership Protocol", 2002); messages are encoded with `postcard`. This module adds separation of clusters by name,
+//! comparison and repair of views, handling of a process that was suspended, detection of duplicate names, and the
+//! effective node count. `docs/membership.md` describes all of it.
 
 mod budget;
+mod budgeted;
 pub mod dissemination;
 mod envelope;
 mod identity;
-mod joined;
 mod membership;
 
 pub use budget::{ByteBudget, TrafficClass};
@@ -19,9 +20,9 @@
     Traffic, TrafficCount, TrafficKind, View, ViewSummary, TRAFFIC_KINDS,
 };
 
+use budgeted::BudgetedDissemination;
 use dissemination::{Dissemination, DisseminationOutput, Entry, PublishError, StateKey};
 use envelope::{Envelope, Extension};
-use joined::Joined;
 use membership::admission::{Admission, DropReason};
 use membership::Membership;
 use std::net::SocketAddr;
@@ -29,86 +30,88 @@
 /// Microseconds on the caller's monotonic clock.
 pub type Micros = u64;
 
-/// What the caller must do, or hears.
+/// An action that the caller must carry out, or a notification.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// The destination.
         to: SocketAddr,
-        /// Its bytes.
+        /// The contents of the datagram.
         data: Vec<u8>,
     },
-    /// A peer stands differently.
+    /// The status of a peer has changed.
     StatusChanged {
-        /// Who.
+        /// The peer.
         peer: Peer,
-        /// How.
+        /// Its new status.
         status: PeerStatus,
     },
-    /// Views lie apart, or together, differently.
+    /// The agreement of the views has changed.
     AgreementChanged(Agreement),
-    /// The count that may be relied on has changed.
+    /// The effective node count has changed.
     EffectiveNodes(u32),
-    /// Another process claims this name. `yields`: this one leaves the cluster to it, for good.
+    /// Another process claims this node's name.
     NameConflict {
-        /// The other one.
+        /// The other process.
         other: Peer,
-        /// Whether this process gives way.
+        /// Whether this process yields the name; if so, it leaves the cluster for good.
         yields: bool,
     },
-    /// Others had declared this process gone; it has come back under a new identity.
+    /// Others had declared this process gone; it has rejoined under a new identity.
     Rejoined,
-    /// What dissemination tells; never [`DisseminationOutput::Send`].
+    /// An output of dissemination; never [`DisseminationOutput::Send`].
     Dissemination(DisseminationOutput),
 }
 
-/// One process's part among its peers: it admits datagrams, opens their envelope, and hands what is in them to the part
-/// that it is for.
+/// One process among its peers. It admits datagrams, decodes their envelope, and dispatches their contents to membership
+/// and dissemination.
 pub struct Peers {
     cluster: String,
     admission: Admission,
     membership: Membership,
-    joined: Option<Joined>,
+    dissemination: Option<BudgetedDissemination>,
 }
 
 impl Peers {
-    /// A process that has not met anybody. `seed`: for its random draws.
-    pub fn new(config: PeersConfig, me: Peer, seed: u64, now: Micros) -> Self {
-        let joined = config.dissemination.as_ref();
-        let joined = joined.and_then(|joined| Joined::new(joined, &config.cluster, &me, seed, now));
+    /// A process that knows no other one yet. `seed`: seeds its random number generators.
+    pub fn new(config: PeersConfig, local_peer: Peer, seed: u64, now: Micros) -> Self {
+        let dissemination = config.dissemination.as_ref();
+        let dissemination = dissemination.and_then(|dissemination| {
+            BudgetedDissemination::new(dissemination, &config.cluster, &local_peer, seed, now)
+        });
         Self {
             cluster: config.cluster.clone(),
             admission: Admission::new(now),
-            joined,
-            membership: Membership::new(config, me, seed, now),
+            dissemination,
+            membership: Membership::new(config, local_peer, seed, now),
         }
     }
 
-    /// When it wants to be called next.
+    /// When [`Self::handle_timers`] must be called next.
     pub fn next_wakeup(&self) -> Option<Micros> {
-        let joined = self.joined.as_ref().map(|joined| joined.core.next());
-        self.membership.next().into_iter().chain(joined).min()
+        let dissemination = self.dissemination.as_ref().map(|dissemination| dissemination.core.next());
+        self.membership.next_timer().into_iter().chain(dissemination).min()
     }
 
-    /// Datagrams that were dropped up to now.
+    /// The datagrams dropped so far, by reason.
     pub fn dropped(&self) -> DroppedDatagrams {
         self.admission.dropped()
     }
 
-    /// Itself, as others know it.
+    /// The identity under which other nodes know this process.
     pub fn local_peer(&self) -> &Peer {
-        self.membership.me()
+        self.membership.local_peer()
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram.
     pub fn handle_datagram(&mut self, now: Micros, data: &[u8], out: &mut Vec<Output>) {
         if !self.admission.admit(now) || self.membership.has_left() {
             return;
         }
-        let begun = out.len();
+        let start = out.len();
         let received = self.receive(now, data, out);
-        self.follow(now, begun, out);
+        self.update_dissemination(now, start, out);
         match received {
             Ok(envelope) => self.receive_entries(now, &envelope, out),
             Err(reason) => self.admission.drop(reason),
@@ -129,9 +132,9 @@
         Ok(envelope)
     }
 
-    /// Hands a datagram of dissemination over, where its sender is present.
+    /// Passes the messages of dissemination in a datagram on if its sender is present.
     fn receive_entries(&mut self, now: Micros, envelope: &Envelope, out: &mut Vec<Output>) {
-        if self.joined.is_none() || !envelope.payload.is_empty() {
+        if self.dissemination.is_none() || !envelope.payload.is_empty() {
             return;
         }
         let mut extensions = envelope.extensions().into_iter();
@@ -140,37 +143,50 @@
             return;
         }
         for extension in extensions {
-            if let (Extension::Dissemination(data), Some(joined)) = (extension, &mut self.joined) {
-                let mut told = Vec::new();
-                joined.core.receive(now, sender.address, &data, &mut joined.budget, &mut told);
-                self.tell(told, out);
+            if let (Extension::Dissemination(data), Some(dissemination)) =
+                (extension, &mut self.dissemination)
+            {
+                let mut outputs = Vec::new();
+                dissemination.core.receive(
+                    now,
+                    sender.address,
+                    &data,
+                    &mut dissemination.budget,
+                    &mut outputs,
+                );
+                self.emit(outputs, out);
             }
         }
     }
 
-    /// Dissemination takes over what membership told since `begun`.
-    fn follow(&mut self, now: Micros, begun: usize, out: &[Output]) {
+    /// Applies the outputs of membership from index `start` on to dissemination.
+    fn update_dissemination(&mut self, now: Micros, start: usize, out: &[Output]) {
         let replaced = self.membership.take_replaced();
-        if let Some(joined) = &mut self.joined {
-            joined.follow(now, self.membership.me(), replaced, out.get(begun..).unwrap_or_default());
+        if let Some(dissemination) = &mut self.dissemination {
+            dissemination.apply_membership(
+                now,
+                self.membership.local_peer(),
+                replaced,
+                out.get(start..).unwrap_or_default(),
+            );
         }
     }
 
-    /// Sends and tells what dissemination wants sent and told. It is configured at all nodes of a cluster or at none, so
-    /// whoever gets its datagrams can read them.
-    fn tell(&self, told: Vec<DisseminationOutput>, out: &mut Vec<Output>) {
-        for (to, data) in joined::split(told, out) {
+    /// Adds the outputs of dissemination to `out`. Dissemination is configured at all nodes of a cluster or at none, so the
+    /// receivers of its datagrams can read them.
+    fn emit(&self, outputs: Vec<DisseminationOutput>, out: &mut Vec<Output>) {
+        for (to, data) in budgeted::split_sends(outputs, out) {
             let data = self.membership.extension_datagram(Extension::Dissemination(data));
             out.extend(data.map(|data| Output::Send { to, data }));
         }
     }
 
-    /// What dissemination holds and knows, where it is configured.
+    /// The dissemination state, if dissemination is configured.
     pub fn dissemination(&self) -> Option<&Dissemination> {
-        self.joined.as_ref().map(|joined| &joined.core)
+        self.dissemination.as_ref().map(|dissemination| &dissemination.core)
     }
 
-    /// Opens this node's log and states for publishing: see [`Dissemination::open_publisher`].
+    /// Opens this node's log and states for publishing; see [`Dissemination::open_publisher`].
     pub fn open_publisher(
         &mut self,
         now: Micros,
@@ -179,10 +195,10 @@
         record: Vec<Entry>,
         out: &mut Vec<Output>,
     ) -> Result<(), PublishError> {
-        self.publish(now, out, |core, told| core.open_publisher(now, epoch, first, record, told))
+        self.publish(now, out, |core, outputs| core.open_publisher(now, epoch, first, record, outputs))
     }
 
-    /// Issues an entry of this node's log; its sequence.
+    /// Publishes an entry of this node's log; returns its sequence number.
     pub fn publish_log_entry(
         &mut self,
         now: Micros,
@@ -191,10 +207,10 @@
         payload: Vec<u8>,
         out: &mut Vec<Output>,
     ) -> Result<u64, PublishError> {
-        self.publish(now, out, |core, told| core.publish_log(now, kind, schema, payload, told))
+        self.publish(now, out, |core, outputs| core.publish_log(now, kind, schema, payload, outputs))
     }
 
-    /// Issues a version of this node's state of a kind; the version.
+    /// Publishes a version of this node's state of one kind; returns the version number.
     pub fn publish_state(
         &mut self,
         now: Micros,
@@ -203,10 +219,10 @@
         payload: Vec<u8>,
         out: &mut Vec<Output>,
     ) -> Result<u64, PublishError> {
-        self.publish(now, out, |core, told| core.publish_state(now, kind, schema, payload, told))
+        self.publish(now, out, |core, outputs| core.publish_state(now, kind, schema, payload, outputs))
     }
 
-    /// The subscriber's word on a version that it was offered: in force, or refused for a reason.
+    /// Reports the subscriber's decision on an offered version: accepted, or refused for a reason.
     pub fn decide_state(
         &mut self,
         now: Micros,
@@ -216,11 +232,11 @@
         verdict: Result<(), String>,
         out: &mut Vec<Output>,
     ) {
-        let decided = self.publish(now, out, |core, told| {
-            core.decide_state(key, epoch, version, verdict, told);
+        let decided = self.publish(now, out, |core, outputs| {
+            core.decide_state(key, epoch, version, verdict, outputs);
             Ok(())
         });
-        // Without dissemination there was no offer to decide on.
+        // Without dissemination no version was offered, so there is nothing to decide.
         decided.unwrap_or(());
     }
 
@@ -230,47 +246,47 @@
         out: &mut Vec<Output>,
         issue: impl FnOnce(&mut Dissemination, &mut Vec<DisseminationOutput>) -> Result<T, PublishError>,
     ) -> Result<T, PublishError> {
-        let Some(joined) = &mut self.joined else { return Err(PublishError::NotOpen) };
-        let mut told = Vec::new();
-        let issued = issue(&mut joined.core, &mut told);
-        joined.core.flush(now, &mut joined.budget, &mut told);
-        self.tell(told, out);
-        issued
+        let Some(dissemination) = &mut self.dissemination else { return Err(PublishError::NotOpen) };
+        let mut outputs = Vec::new();
+        let result = issue(&mut dissemination.core, &mut outputs);
+        dissemination.core.flush(now, &mut dissemination.budget, &mut outputs);
+        self.emit(outputs, out);
+        result
     }
 
-    /// Time has come for what is due. Datagrams that wait are to be handed over first: after a sleep they say who is
-    /// there, while timers would only say who did not answer a process that stood still.
+    /// Runs the timers that are due. Received datagrams must be passed in first: after this process was suspended, they
+    /// show which peers are alive, while the timers would suspect peers whose answers are still unread.
     pub fn handle_timers(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let begun = out.len();
+        let start = out.len();
         self.membership.run_timers(now, out);
-        self.follow(now, begun, out);
+        self.update_dissemination(now, start, out);
         if self.membership.has_left() {
-            self.joined = None;
+            self.dissemination = None;
         }
-        let Some(joined) = &mut self.joined else { return };
-        if now >= joined.core.next() {
-            let mut told = Vec::new();
-            joined.core.timers(now, &mut joined.budget, &mut told);
-            self.tell(told, out);
+        let Some(dissemination) = &mut self.dissemination else { return };
+        if now >= dissemination.core.next() {
+            let mut outputs = Vec::new();
+            dissemination.core.timers(now, &mut dissemination.budget, &mut outputs);
+            self.emit(outputs, out);
         }
     }
 
-    /// Says farewell: the others know at once, and suspect nothing.
+    /// Sends leave messages, so that the other nodes know at once and need not suspect this one.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.membership.leave(now, out);
     }
 
-    /// The figures of its view, without the list of peers.
+    /// A summary of the view, without the list of peers.
     pub fn summary(&self) -> ViewSummary {
         self.membership.summary()
     }
 
-    /// What membership sent up to now, by kind.
+    /// The traffic that membership has sent so far, by kind.
     pub fn traffic(&self) -> Traffic {
         self.membership.traffic()
     }
 
-    /// What it sees.
+    /// The view of the cluster.
     pub fn view(&self, now: Micros) -> View {
         self.membership.view(now)
     }
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -5,16 +5,16 @@
 const SECOND: Micros = 1_000_000;
 const DELAY: Micros = 500;
 
-/// A few peers on a network that loses datagrams. Some of them are of the first schema: they send no datagram without the
-/// engine's message and read none, and what they send and read says schema 1.
+/// A few peers on a network that loses datagrams. Peers with `old` use schema 1: they neither send nor read a datagram
+/// without a message of the engine, and all datagrams from and to them say schema 1.
 struct Network {
     peers: Vec<Peers>,
     old: Vec<bool>,
     loss: f64,
     random: fastrand::Rng,
     now: Micros,
-    waiting: BinaryHeap<Reverse<(Micros, usize, Vec<u8>)>>,
-    /// Datagrams that a peer of the first schema would count as malformed.
+    in_flight: BinaryHeap<Reverse<(Micros, usize, Vec<u8>)>>,
+    /// Datagrams that a schema 1 peer would count as malformed.
     unreadable: usize,
 }
 
@@ -57,7 +57,7 @@
             loss,
             random: fastrand::Rng::with_seed(1),
             now: 0,
-            waiting: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
             unreadable: 0,
         }
     }
@@ -66,8 +66,8 @@
         let end = self.now + time;
         while self.now < end {
             self.now += SECOND / 1_000;
-            while self.waiting.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
-                let Some(Reverse((_, to, data))) = self.waiting.pop() else { break };
+            while self.in_flight.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
+                let Some(Reverse((_, to, data))) = self.in_flight.pop() else { break };
                 let mut out = Vec::new();
                 self.peers[to].handle_datagram(self.now, &data, &mut out);
                 self.send(to, out);
@@ -93,7 +93,7 @@
             }
             let data = if self.old[from] || self.old[to] { as_schema_one(data) } else { data };
             if self.random.f64() >= self.loss {
-                self.waiting.push(Reverse((self.now + DELAY, to, data)));
+                self.in_flight.push(Reverse((self.now + DELAY, to, data)));
             }
         }
     }
@@ -108,21 +108,21 @@
     }
 }
 
-// Guards against datagrams that older peers cannot read, and against a view that none of the two repairs.
+// Guards against datagrams that schema 1 peers cannot read, and against differing views that neither schema repairs.
 #[test]
-fn peers_of_the_first_schema_and_of_the_second_agree() {
+fn peers_of_schemas_one_and_two_agree_on_a_view() {
     for loss in [0.0, 0.2] {
         let mut network = Network::new(&[true, false, true, false, false, true], loss);
         network.run(15 * SECOND);
         assert!(network.is_agreed(), "loss {loss}");
         assert_eq!(network.unreadable, 0, "loss {loss}");
-        let repairs = |node: usize| network.peers[node].traffic().sent(TrafficKind::Announce).datagrams;
-        assert!((0..6).map(repairs).sum::<u64>() > 6, "lists are asked for beyond joining");
+        let announces = |node: usize| network.peers[node].traffic().sent(TrafficKind::Announce).datagrams;
+        assert!((0..6).map(announces).sum::<u64>() > 6, "member lists are requested beyond joining");
     }
 }
 
 #[test]
-fn what_a_node_sends_at_rest_is_probes_alone() {
+fn idle_agreed_cluster_sends_only_probes() {
     let mut network = Network::new(&[false; 5], 0.0);
     network.run(10 * SECOND);
     assert!(network.is_agreed());
