--- a/src/peers/identity.rs
+++ b/src/peers/identity.rs
@@ -32,14 +32,14 @@
     }
 }
 
-/// The identity of one process. A restarted process has a new identity, and so has one that was declared gone and
+/// The identity of one process. A restarted process has a new identity, and so has one that was declared down and
 /// rejoins. Of two identities with the same address, the one with the greater `generation` is valid; so it is with two
 /// that claim the same name at different addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Peer {
     /// The address at which peers reach it.
     pub address: SocketAddr,
-    /// Unix time at its start in microseconds, raised by an hour each time it was declared gone and rejoined. It is only
+    /// Unix time at its start in microseconds, raised by an hour each time it was declared down and rejoined. It is only
     /// compared with other identities of the same name or address, never with a clock.
     #[serde(rename = "order")]
     pub generation: u64,
--- a/src/peers/membership/admission.rs
+++ b/src/peers/membership/admission.rs
@@ -1,28 +1,28 @@
-//! Which datagrams are read at all.
+//! Rate limit for received datagrams, and counts of those that were dropped.
 
 use serde::Serialize;
 
 use crate::peers::Micros;
 
-/// Datagrams that are read in a second at the most, and how many may be saved up.
+/// Maximum number of datagrams that are read per second; also the size of the token bucket.
 const DATAGRAMS_PER_SECOND: f64 = 4_000.0;
 
-/// Datagrams that were dropped.
+/// Counts of dropped datagrams, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DroppedDatagrams {
-    /// Of another cluster.
+    /// They belong to another cluster.
     pub foreign: u64,
-    /// That cannot be read, or that nobody would send.
+    /// They cannot be decoded, or their contents are invalid.
     pub malformed: u64,
-    /// Over the bound on what is read.
+    /// They exceed the rate limit.
     #[serde(rename = "flood")]
     pub rate_limited: u64,
-    /// Of peers over the bound on how many are held.
+    /// They come from an unknown peer while the maximum number of peers is known.
     #[serde(rename = "crowd")]
     pub too_many_peers: u64,
 }
 
-/// Why a datagram is dropped.
+/// The reason for dropping a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::peers) enum DropReason {
     Foreign,
@@ -31,9 +31,9 @@
     TooManyPeers,
 }
 
-/// Bounds the rate of what is read, and counts what is dropped.
+/// Limits the rate of datagrams that are read, and counts those that are dropped.
 pub(in crate::peers) struct Admission {
-    /// Datagrams that may still be read.
+    /// The number of datagrams that may be read now.
     tokens: f64,
     refilled_at: Micros,
     dropped: DroppedDatagrams,
@@ -44,7 +44,7 @@
         Self { tokens: DATAGRAMS_PER_SECOND, refilled_at: now, dropped: DroppedDatagrams::default() }
     }
 
-    /// Whether one more may be read. One that may not is counted.
+    /// Whether one more datagram may be read; if not, it is counted as dropped.
     pub fn admit(&mut self, now: Micros) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.tokens = (self.tokens + elapsed * DATAGRAMS_PER_SECOND).min(DATAGRAMS_PER_SECOND);
--- a/src/peers/membership/admission/tests.rs
+++ b/src/peers/membership/admission/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_flood_is_cut_off_and_the_rate_comes_back() {
+fn datagrams_over_the_rate_are_dropped_until_tokens_refill() {
     let mut admission = Admission::new(0);
     let admitted = (0..10_000).filter(|_| admission.admit(0)).count();
     assert_eq!((admitted, admission.dropped().rate_limited), (4_000, 6_000));
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn each_reason_has_its_count() {
+fn each_drop_reason_has_its_own_count() {
     let mut admission = Admission::new(0);
     admission.drop(DropReason::Foreign);
     admission.drop(DropReason::Malformed);
--- a/src/peers/membership/applying.rs
+++ b/src/peers/membership/applying.rs
@@ -1,4 +1,4 @@
-//! What the engine asks for and tells is carried out: timers, changes of members, messages.
+//! Applies the effects of the engine: timers, changes of members, and messages.
 
 use foca::Timer;
 
@@ -9,20 +9,20 @@
 use crate::peers::{Micros, Output};
 
 impl Membership {
-    /// By how much an answer from this peer may take longer than configured. The engine's own times can't be changed while it
-    /// runs, so its timers are.
+    /// How much longer than configured an answer from this peer may take. The engine's probe timeouts cannot be changed while
+    /// it runs, so its timers are delayed instead.
     fn probe_extension(&self, peer: &Peer) -> Micros {
-        let least = micros(self.config.probe_timeout);
-        self.round_trips.timeout(&peer.location().region, least) - least
+        let min_timeout = micros(self.config.probe_timeout);
+        self.round_trips.timeout(&peer.location().region, min_timeout) - min_timeout
     }
 
-    /// A probe was not answered in time and goes by way of relays: the next one begins when their answers had their time.
+    /// A probe was not answered in time and indirect probes are sent: delays the next probe until their answers are due.
     fn delay_next_probe_for_relays(&mut self, now: Micros) {
-        let least = micros(self.config.probe_interval.saturating_sub(self.config.probe_timeout));
-        self.next_probe_at = now + self.round_trips.indirect_timeout(least);
+        let min_timeout = micros(self.config.probe_interval.saturating_sub(self.config.probe_timeout));
+        self.next_probe_at = now + self.round_trips.indirect_timeout(min_timeout);
     }
 
-    /// Carries out what the engine asked for.
+    /// Applies the effects that the engine requested.
     pub(super) fn apply(&mut self, now: Micros, effects: EngineEffects, out: &mut Vec<Output>) {
         let changed = effects.changes_members();
         self.incarnation = effects.incarnation.unwrap_or(self.incarnation);
@@ -56,11 +56,11 @@
                     arrived.push(peer);
                 }
                 MemberChange::Down(peer) => {
-                    let standing = match self.leave_messages.contains(&peer) {
+                    let status = match self.leave_messages.contains(&peer) {
                         true => PeerStatus::Left,
                         false => PeerStatus::Lost,
                     };
-                    self.set_status(now, peer, standing, out);
+                    self.set_status(now, peer, status, out);
                 }
                 MemberChange::Up(peer) => {
                     self.set_status(now, peer.clone(), PeerStatus::Present, out);
@@ -80,26 +80,20 @@
         }
     }
 
-    /// The engine's times follow the number of peers, and of those in doubt.
+    /// Adapts the settings of the engine to the number of peers and of suspects.
     pub(super) fn adapt_engine(&mut self) {
         let suspects = self.members.counts().suspected;
         let settings = self.config.engine_config(self.engine.num_members() + 1, suspects, self.gossip_plan);
-        // What differs are times and numbers that may change at any moment.
+        // Only durations and counts differ, which the engine allows to change at any time.
         let _ = self.engine.set_config(settings);
     }
 
-    pub(super) fn set_status(
-        &mut self,
-        now: Micros,
-        peer: Peer,
-        standing: PeerStatus,
-        out: &mut Vec<Output>,
-    ) {
-        if standing.is_departed() {
+    pub(super) fn set_status(&mut self, now: Micros, peer: Peer, status: PeerStatus, out: &mut Vec<Output>) {
+        if status.is_departed() {
             self.agreement.forget(&peer.address);
         }
-        if self.members.set_status(now, &peer, standing) {
-            out.push(Output::StatusChanged { peer, status: standing });
+        if self.members.set_status(now, &peer, status) {
+            out.push(Output::StatusChanged { peer, status });
         }
     }
 
@@ -117,11 +111,11 @@
 
     pub(super) fn update_view(&mut self, now: Micros) {
         let digest = self.members.digest().whole();
-        debug_assert_eq!(digest, self.recomputed_digest(), "the digest is kept up with each change");
+        debug_assert_eq!(digest, self.recomputed_digest(), "the digest is updated with each change");
         self.agreement.set_local_view(now, digest, self.nodes());
     }
 
-    /// The digest of what the engine holds, summed anew.
+    /// The digest of the engine's members, computed from scratch.
     pub(super) fn recomputed_digest(&self) -> u64 {
         let nodes = self.engine.iter_members().map(foca::Member::id).chain([self.engine.identity()]);
         let counted = nodes.filter(|peer| !peer.observer);
--- a/src/peers/membership/count.rs
+++ b/src/peers/membership/count.rs
@@ -1,5 +1,5 @@
-//! How many nodes there are, as far as a node's own part of what all may do goes. `docs/membership.md` has the rule and
-//! its argument.
+//! The effective node count: how many nodes a node assumes when it computes its own share of a limit on all nodes
+//! together. `docs/membership.md` has the rule and the reasons for it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,14 +7,14 @@
 /// Microseconds on the caller's clock.
 type Micros = u64;
 
-/// When fewer nodes may be believed.
+/// When the effective node count may decrease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeCountRules {
-    /// The view has been agreed, with no more nodes in it, for so long.
+    /// The view must have been agreed for this long, without the higher node count.
     pub decrease_delay: Duration,
-    /// For so long the largest agreed count is remembered.
+    /// How long the largest effective count is remembered.
     pub peak_window: Duration,
-    /// The count in force stays at this part of it at the least.
+    /// The effective count stays at or above this fraction of it.
     pub min_fraction: f64,
 }
 
@@ -28,29 +28,29 @@
     }
 }
 
-/// The count in force. More nodes count at once, fewer late and within bounds.
+/// The effective node count. Increases apply at once, decreases after a delay and within bounds.
 #[derive(Clone, Debug)]
 pub struct EffectiveNodeCount {
     rules: NodeCountRules,
     current: u32,
-    /// Counts that were in force, and until when each is remembered; the last one stands.
+    /// Earlier values of `current`, and until when each is remembered.
     past_counts: VecDeque<(Micros, u32)>,
-    /// Fewer nodes, agreed since then without a break.
+    /// Since when a lower count has been agreed without interruption, and the largest count seen in that time.
     decrease: Option<(Micros, u32)>,
 }
 
 impl EffectiveNodeCount {
-    /// Begins with the configured number, as if it had been agreed.
+    /// Starts with the configured number of nodes, as if it had been agreed.
     pub fn new(rules: NodeCountRules, configured: u32) -> Self {
         Self { rules, current: configured.max(1), past_counts: VecDeque::new(), decrease: None }
     }
 
-    /// The count in force.
+    /// The effective count.
     pub fn get(&self) -> u32 {
         self.current
     }
 
-    /// The least that may be in force now.
+    /// The lowest value that the effective count may have now.
     fn lower_bound(&mut self, now: Micros) -> u32 {
         while self.past_counts.front().is_some_and(|(until, _)| *until <= now) {
             self.past_counts.pop_front();
@@ -60,41 +60,42 @@
     }
 
     fn set(&mut self, now: Micros, count: u32) {
-        let memory = u64::try_from(self.rules.peak_window.as_micros()).unwrap_or(u64::MAX);
-        self.past_counts.push_back((now.saturating_add(memory), self.current));
+        let window = u64::try_from(self.rules.peak_window.as_micros()).unwrap_or(u64::MAX);
+        self.past_counts.push_back((now.saturating_add(window), self.current));
         self.current = count;
     }
 
-    /// What the node sees now: so many nodes, itself among them, and whether that is agreed. Whether the count in force
-    /// has changed.
+    /// Observes the present view: its number of nodes, including this one, and whether views agree. Returns whether the
+    /// effective count has changed.
     pub fn observe(&mut self, now: Micros, seen: u32, agreed: bool) -> bool {
         let seen = seen.max(1);
         if seen >= self.current {
             self.decrease = None;
-            let more = seen > self.current;
-            if more {
+            let increased = seen > self.current;
+            if increased {
                 self.set(now, seen);
             }
-            return more;
+            return increased;
         }
         if !agreed {
             self.decrease = None;
             return false;
         }
-        // The most that was seen since the view was agreed.
-        let (since, most) = self.decrease.map_or((now, seen), |(since, most)| (since, most.max(seen)));
-        self.decrease = Some((since, most));
-        let hold = u64::try_from(self.rules.decrease_delay.as_micros()).unwrap_or(u64::MAX);
-        if now < since.saturating_add(hold) {
+        // The largest number of nodes seen since the view was agreed.
+        let (since, max_seen) =
+            self.decrease.map_or((now, seen), |(since, max_seen)| (since, max_seen.max(seen)));
+        self.decrease = Some((since, max_seen));
+        let delay = u64::try_from(self.rules.decrease_delay.as_micros()).unwrap_or(u64::MAX);
+        if now < since.saturating_add(delay) {
             return false;
         }
-        let count = most.max(self.lower_bound(now));
+        let count = max_seen.max(self.lower_bound(now));
         self.decrease = Some((now, seen));
-        let fewer = count < self.current;
-        if fewer {
+        let decreased = count < self.current;
+        if decreased {
             self.set(now, count);
         }
-        fewer
+        decreased
     }
 }
 
--- a/src/peers/membership/engine.rs
+++ b/src/peers/membership/engine.rs
@@ -1,4 +1,4 @@
-//! What the engine asks for in one call, gathered; its notifications as typed changes.
+//! The effects that the engine requests during one call.
 
 use foca::{Foca, Notification, PostcardCodec, Runtime, Timer};
 use rand::rngs::SmallRng;
@@ -16,47 +16,47 @@
 pub(super) struct EngineMessage {
     pub to: SocketAddr,
     pub kind: TrafficKind,
-    /// The number of a probe that its reader answers itself.
+    /// The number of a direct probe, which its receiver answers itself.
     pub probe: Option<foca::ProbeNumber>,
-    /// Its reader is to probe another one.
+    /// It asks its receiver to probe another peer.
     pub is_indirect_request: bool,
     pub payload: Vec<u8>,
 }
 
 impl EngineMessage {
-    /// A message that is no probe of the engine's own.
+    /// A message that is not tracked as a probe.
     pub fn new(to: SocketAddr, kind: TrafficKind, payload: Vec<u8>) -> Self {
         Self { to, kind, probe: None, is_indirect_request: false, payload }
     }
 }
 
-/// A change in who is there, as the engine tells it.
+/// A change of the members, as the engine reports it.
 pub(super) enum MemberChange {
     Up(Peer),
     Down(Peer),
-    /// An address has this identity in place of another one.
+    /// This identity replaces another one with the same address.
     Replaced(Peer),
 }
 
-/// What the engine asks for, as it comes.
+/// The requested effects, in order.
 #[derive(Default)]
 pub(super) struct EngineEffects {
     pub messages: Vec<EngineMessage>,
     pub timers: Vec<(Duration, Timer<Peer>)>,
     pub changes: Vec<MemberChange>,
-    /// Others had declared this process gone: it has another identity now.
+    /// Others had declared this process gone; it has a new identity now.
     pub rejoined: bool,
-    /// The incarnation of this process, where a message told it.
+    /// The incarnation of this process, if a message carried it.
     pub incarnation: Option<foca::Incarnation>,
 }
 
 impl EngineEffects {
-    /// Whether anything changed in who is there.
+    /// Whether the members or the identity of this process changed.
     pub fn changes_members(&self) -> bool {
         !self.changes.is_empty() || self.rejoined
     }
 
-    /// Whom a probe that begins is for.
+    /// The peer that a new probe is sent to.
     pub fn probe_target(&self) -> Option<&Peer> {
         self.timers.iter().find_map(|(_, timer)| match timer {
             Timer::SendIndirectProbe { probed_id, .. } => Some(probed_id),
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Whether a probe goes by way of relays.
+    /// Whether indirect probes are requested.
     pub fn requests_indirect_probe(&self) -> bool {
         self.messages.iter().any(|message| message.is_indirect_request)
     }
@@ -87,7 +87,7 @@
     }
 
     fn send_to(&mut self, to: Peer, data: &[u8]) {
-        // Every message begins with a header that the engine has just written.
+        // Every message begins with a header that the engine encoded.
         let header = postcard::take_from_bytes::<foca::Header<Peer>>(data);
         let mut message = EngineMessage::new(to.address, TrafficKind::Probe, data.to_vec());
         if let Ok((header, _)) = header {
--- a/src/peers/membership/gossip.rs
+++ b/src/peers/membership/gossip.rs
@@ -1,34 +1,35 @@
-//! How news is passed on: in how many copies, to how many at once, and what is left to repair.
+//! Limits on how updates are gossiped: how often, to how many peers at once, and how many may be queued. Beyond these
+//! limits, updates are left to repair.
 
 use crate::peers::Micros;
 
-/// Copies of one piece of news that a node sends while little changes. Each copy reaches another node at random, so that
-/// one in `e` to this power is missed; repair brings the rest.
+/// How often a node sends each update while little changes. Each transmission reaches a random node, so that a fraction of
+/// `e` to the minus this power misses the update; repair delivers it to them.
 const MAX_TRANSMISSIONS: u8 = 10;
-/// While much changes news is mostly pulled by repair, which sends nobody what it has.
+/// While much changes, updates are mostly pulled through repair, which sends no peer what it already has.
 const MAX_TRANSMISSIONS_IN_BURST: u8 = 1;
-/// Peers that are told at once.
+/// Number of peers per gossip round.
 const FAN_OUT: usize = 3;
 const FAN_OUT_IN_BURST: usize = 1;
-/// Pieces of news that may wait to be passed on; what comes beyond them is left to repair.
+/// Maximum number of updates queued for gossip; further ones are left to repair.
 const MAX_BACKLOG: usize = 32;
 const MAX_BACKLOG_IN_BURST: usize = 4;
-/// More changes than this, of late, are a burst.
+/// More recent changes than this are a burst.
 const BURST_CHANGES: f64 = 32.0;
-/// Half of the changes are forgotten in this time.
+/// The weight of a change halves in this time.
 const HALF_LIFE_US: f64 = 750_000.0;
 
-/// What holds now.
+/// The limits in effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct GossipPlan {
     pub max_transmissions: u8,
     pub fan_out: usize,
     pub max_backlog: usize,
-    /// Pieces of news on one message at the most.
+    /// Maximum number of updates in one message.
     pub updates_per_message: usize,
 }
 
-/// Follows how much changes.
+/// Tracks the rate of membership changes.
 pub(super) struct ChangeRate {
     changes: f64,
     at: Micros,
@@ -39,13 +40,13 @@
         Self { changes: 0.0, at: now }
     }
 
-    /// So many members changed.
+    /// Records that this many members changed.
     pub fn add(&mut self, now: Micros, changes: usize) {
         self.changes = self.recent(now) + changes as f64;
         self.at = now;
     }
 
-    /// Whether much changes.
+    /// Whether there is a burst of changes.
     pub fn is_burst(&self, now: Micros) -> bool {
         self.recent(now) > BURST_CHANGES
     }
--- a/src/peers/membership/gossip/tests.rs
+++ b/src/peers/membership/gossip/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn a_burst_is_told_by_its_rate_and_forgotten() {
+fn burst_is_detected_by_rate_and_expires() {
     let mut rate = ChangeRate::new(0);
     for second in 0..60 {
         rate.add(second * 1_000_000, 5);
-        assert!(!rate.is_burst(second * 1_000_000), "five a second are no burst");
+        assert!(!rate.is_burst(second * 1_000_000), "five changes per second are no burst");
     }
     rate.add(60_000_000, 40);
     assert!(rate.is_burst(60_000_000));
--- a/src/peers/membership/inbound/tests.rs
+++ b/src/peers/membership/inbound/tests.rs
@@ -2,16 +2,9 @@
 use crate::peers::membership::view::PeerStatus;
 use std::net::SocketAddr;
 
-fn peer(host: u8, order: u64) -> Peer {
+fn peer(host: u8, generation: u64) -> Peer {
     let address = SocketAddr::from(([10, 0, 0, host], 7_946));
-    Peer {
-        address,
-        generation: order,
-        salt: 1,
-        observer: false,
-        name: format!("n{host}"),
-        metadata: Vec::new(),
-    }
+    Peer { address, generation, salt: 1, observer: false, name: format!("n{host}"), metadata: Vec::new() }
 }
 
 fn message(message: Message<Peer>, updates: &[MemberUpdate], tail: &[u8]) -> Vec<u8> {
@@ -28,7 +21,7 @@
 }
 
 #[test]
-fn a_message_is_taken_apart_and_put_together_without_its_updates() {
+fn message_is_decoded_and_encoded_again_without_its_updates() {
     let bytes = message(Message::Ping(7), &alive(3..9), &[0, 1, 5]);
     let inbound = InboundMessage::decode(&bytes).unwrap();
     assert_eq!((inbound.header.src.clone(), &inbound.updates), (peer(1, 1), &alive(3..9)));
@@ -36,7 +29,7 @@
 }
 
 #[test]
-fn a_message_without_updates_stays_as_it_is_and_a_cut_one_is_malformed() {
+fn message_without_updates_is_unchanged_and_truncated_bytes_are_malformed() {
     let header = Header { src: peer(1, 1), src_incarnation: 2, dst: peer(2, 1), message: Message::Announce };
     let bytes = postcard::to_stdvec(&header).unwrap();
     assert_eq!(InboundMessage::decode(&bytes).unwrap().without_updates(), bytes);
@@ -46,7 +39,7 @@
 }
 
 #[test]
-fn a_truncated_message_holds_the_first_updates() {
+fn message_with_truncated_updates_keeps_the_first_ones() {
     let bytes = message(Message::Feed, &alive(3..9), &[0, 1, 5]);
     assert_eq!(truncate_updates(&bytes, 6), bytes);
     assert_eq!(truncate_updates(&bytes, 2), message(Message::Feed, &alive(3..5), &[]));
@@ -55,12 +48,12 @@
 }
 
 #[test]
-fn the_engine_is_spared_what_it_knows() {
+fn updates_that_the_engine_knows_are_not_new() {
     let mut table = MemberTable::new();
     table.set_status(1, &peer(1, 5), PeerStatus::Present);
     table.set_status(1, &peer(2, 5), PeerStatus::Lost);
-    let down = |host, order| Member::down(peer(host, order));
-    for (update, news) in [
+    let down = |host, generation| Member::down(peer(host, generation));
+    for (update, is_new) in [
         (Member::alive(peer(1, 5)), false),
         (Member::alive(peer(1, 4)), false),
         (Member::alive(peer(1, 6)), true),
@@ -73,12 +66,12 @@
         (Member::new(peer(1, 5), 0, State::Suspect), true),
         (Member::new(peer(1, 5), 0, State::Suspect), false),
     ] {
-        assert_eq!(is_new_update(&mut table, &update), news, "{update:?}");
+        assert_eq!(is_new_update(&mut table, &update), is_new, "{update:?}");
     }
 }
 
 #[test]
-fn a_message_to_an_earlier_life_can_be_addressed_to_the_present_one() {
+fn message_to_an_earlier_identity_can_be_readdressed_to_the_present_one() {
     let bytes = message(Message::Ping(7), &alive(3..9), &[0, 1, 5]);
     let mut inbound = InboundMessage::decode(&bytes).unwrap();
     inbound.readdress(peer(2, 5));
--- a/src/peers/membership/joining.rs
+++ b/src/peers/membership/joining.rs
@@ -1,31 +1,33 @@
-//! How company is found: seeds, and peers that were known before.
+//! Which addresses a node contacts to join a cluster: seeds, and nodes that it knew before.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Waits before seeds are asked again while nobody is there: the first, doubled up to the longest.
+/// The wait between attempts of a node that knows no present peer: it starts at the first value and doubles up to the second.
 const INITIAL_WAIT: Duration = Duration::from_millis(250);
 const MAX_WAIT: Duration = Duration::from_secs(5);
-/// Seeds or remembered peers that are asked at once.
+/// Maximum number of seeds or remembered nodes contacted per attempt.
 const MAX_CONTACTS: usize = 3;
-/// A node that has company still asks a seed this often: two fleets that never met find each other.
+/// The wait between attempts of a node that knows present peers. It still contacts seeds, so that two separately formed
+/// groups of one cluster find each other.
 const CONNECTED_WAIT: Duration = Duration::from_secs(20);
-/// Whom to ask now, and when to ask again.
+
+/// The addresses to contact now, and the wait until the next attempt.
 pub(super) struct JoinAttempt {
     pub addresses: Vec<SocketAddr>,
     pub wait: Duration,
 }
 
-/// What is known of somebody at an address.
+/// What this node knows about the node at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum KnownNode {
     Present,
-    /// It was present once.
+    /// It was present earlier.
     Absent,
 }
 
-/// Seeds, and the wait between attempts.
+/// The seeds, and the state of the backoff between attempts.
 pub(super) struct Joining {
     seeds: Vec<SocketAddr>,
     wait: Duration,
@@ -36,28 +38,28 @@
         Self { seeds, wait: INITIAL_WAIT }
     }
 
-    /// The next attempt. `known`: nodes that were met.
+    /// The next attempt. `isolated`: no other node is present. `known`: nodes that are or were present.
     pub fn attempt(
         &mut self,
-        me: SocketAddr,
-        alone: bool,
+        own: SocketAddr,
+        isolated: bool,
         known: &BTreeMap<SocketAddr, KnownNode>,
         random: &mut fastrand::Rng,
     ) -> JoinAttempt {
-        let mut among = self.seeds.clone();
-        if alone {
-            among.extend(known.keys());
+        let mut candidates = self.seeds.clone();
+        if isolated {
+            candidates.extend(known.keys());
         }
-        among.retain(|address| *address != me);
-        if !alone {
-            // One that is there already has nothing to tell.
-            among.retain(|address| known.get(address) != Some(&KnownNode::Present));
+        candidates.retain(|address| *address != own);
+        if !isolated {
+            // Contacting a seed that is present already would bring nothing new.
+            candidates.retain(|address| known.get(address) != Some(&KnownNode::Present));
         }
-        random.shuffle(&mut among);
-        among.truncate(MAX_CONTACTS);
-        self.wait = if alone { (self.wait * 2).min(MAX_WAIT) } else { CONNECTED_WAIT };
-        // Drawn apart: peers that start together don't ask together.
-        JoinAttempt { addresses: among, wait: self.wait.mul_f64(0.5 + random.f64()) }
+        random.shuffle(&mut candidates);
+        candidates.truncate(MAX_CONTACTS);
+        self.wait = if isolated { (self.wait * 2).min(MAX_WAIT) } else { CONNECTED_WAIT };
+        // Jitter keeps nodes that start together from contacting the seeds together.
+        JoinAttempt { addresses: candidates, wait: self.wait.mul_f64(0.5 + random.f64()) }
     }
 }
 
--- a/src/peers/membership/joining/tests.rs
+++ b/src/peers/membership/joining/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn one_alone_asks_seeds_and_those_it_knew_with_longer_and_longer_waits() {
+fn isolated_node_contacts_seeds_and_known_nodes_with_growing_waits() {
     let mut joining = Joining::new(vec![address(1), address(2)]);
     let known = BTreeMap::from([(address(3), KnownNode::Absent)]);
     let mut random = fastrand::Rng::with_seed(1);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn in_company_absent_seeds_alone_are_asked() {
+fn connected_node_contacts_only_absent_seeds() {
     let mut joining = Joining::new(vec![address(1), address(2)]);
     let known = [(address(1), KnownNode::Present), (address(3), KnownNode::Absent)].into();
     let mut random = fastrand::Rng::with_seed(1);
--- a/src/peers/membership/leave_messages.rs
+++ b/src/peers/membership/leave_messages.rs
@@ -1,4 +1,4 @@
-//! LeaveMessages: a peer's word that it leaves. They ride on the engine's messages.
+//! Leave messages, by which a peer announces that it leaves. They are sent as custom broadcasts of the engine.
 
 use foca::{BroadcastHandler, Invalidates};
 use serde::{Deserialize, Serialize};
@@ -10,10 +10,10 @@
 
 use crate::peers::identity::Peer;
 
-/// LeaveMessages that are remembered.
+/// Maximum number of leave messages that are remembered.
 const MAX_REMEMBERED: usize = 1_024;
 
-/// A peer's word that it leaves.
+/// Announces that the peer with this address and generation leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct LeaveMessage {
     pub address: SocketAddr,
@@ -27,10 +27,10 @@
 }
 
 #[derive(Debug, Error)]
-#[error("no farewell: {0}")]
+#[error("malformed leave message: {0}")]
 pub(super) struct MalformedLeaveMessage(#[from] postcard::Error);
 
-/// The latest leave_messages; the engine hands them over, and the membership looks them up.
+/// The latest leave messages. The engine adds received ones through its copy, and membership looks them up.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LeaveMessages(Rc<RefCell<Remembered>>);
 
@@ -41,30 +41,30 @@
 }
 
 impl LeaveMessages {
-    /// Whether this life of a peer said farewell.
+    /// Whether this peer, or a later identity at its address, sent a leave message.
     pub fn contains(&self, peer: &Peer) -> bool {
         self.0
             .borrow()
             .latest
             .iter()
-            .any(|said| said.address == peer.address && said.generation >= peer.generation)
+            .any(|message| message.address == peer.address && message.generation >= peer.generation)
     }
 
-    /// How many there were: with another number, others are known.
+    /// The number of distinct leave messages received so far; it changes whenever one is added.
     pub fn received(&self) -> u64 {
         self.0.borrow().received
     }
 
-    /// Remembers one; whether it is news.
-    pub fn insert(&self, farewell: LeaveMessage) -> bool {
+    /// Remembers a leave message; returns whether it was new.
+    pub fn insert(&self, message: LeaveMessage) -> bool {
         let mut known = self.0.borrow_mut();
-        if known.latest.contains(&farewell) {
+        if known.latest.contains(&message) {
             return false;
         }
         if known.latest.len() >= MAX_REMEMBERED {
             known.latest.pop_front();
         }
-        known.latest.push_back(farewell);
+        known.latest.push_back(message);
         known.received += 1;
         true
     }
@@ -79,8 +79,8 @@
         data: &[u8],
         _: Option<&Peer>,
     ) -> Result<Option<LeaveMessage>, MalformedLeaveMessage> {
-        // What stands behind it is a later version's.
-        let (farewell, _) = postcard::take_from_bytes::<LeaveMessage>(data)?;
-        Ok(self.insert(farewell).then_some(farewell))
+        // Bytes after the message belong to a later version and are ignored.
+        let (message, _) = postcard::take_from_bytes::<LeaveMessage>(data)?;
+        Ok(self.insert(message).then_some(message))
     }
 }
--- a/src/peers/membership/members.rs
+++ b/src/peers/membership/members.rs
@@ -1,4 +1,4 @@
-//! The table of peers: their standing, counts by standing, and the digest of the view, kept up with each change.
+//! The table of peers: the status of each, counts by status, and the digest of the view, updated with each change.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,19 +13,20 @@
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub peer: Peer,
-    /// The hash of this life of it.
+    /// The hash of its identity.
     pub identity_hash: u64,
     pub tag: IdentityTag,
     pub status: PeerStatus,
-    /// When it came to stand so.
+    /// When its status last changed.
     pub status_since: Micros,
-    /// The version of the envelope that it sent last; 0 until it is heard.
+    /// The envelope version of its last datagram; 0 until one is received.
     pub schema: u16,
-    /// The latest word on this life that the engine was given.
+    /// The latest report on this identity that the engine was given.
     pub reported: ReportedState,
 }
 
-/// A word on one life, in the order of SWIM: the greater incarnation goes first, and in one incarnation a suspicion.
+/// A report that a peer is alive or suspected. Reports are ordered as in SWIM: the higher incarnation takes precedence,
+/// and within one incarnation a suspicion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ReportedState {
     pub incarnation: foca::Incarnation,
@@ -33,13 +34,13 @@
 }
 
 impl Member {
-    /// Whether it is a node in the view.
+    /// Whether it counts as a node of the view.
     pub fn is_counted(&self) -> bool {
         !self.peer.observer && !self.status.is_departed()
     }
 }
 
-/// How many nodes stand how.
+/// The number of nodes with each status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct StatusCounts {
     pub present: usize,
@@ -49,8 +50,8 @@
 }
 
 impl StatusCounts {
-    fn count_mut(&mut self, standing: PeerStatus) -> &mut usize {
-        match standing {
+    fn count_mut(&mut self, status: PeerStatus) -> &mut usize {
+        match status {
             PeerStatus::Present => &mut self.present,
             PeerStatus::Suspected => &mut self.suspected,
             PeerStatus::Left => &mut self.left,
@@ -59,11 +60,11 @@
     }
 }
 
-/// All peers that are known of, the node itself apart. They lie by the part of the view that their address belongs to.
+/// All known peers, without the node itself, ordered by the leaf of the view that their address belongs to.
 pub(super) struct MemberTable {
     members: BTreeMap<(u16, SocketAddr), Member>,
     counts: StatusCounts,
-    /// Of the nodes in the view, and of the node itself where it is counted.
+    /// The digest of the nodes in the view, including this one unless it is an observer.
     digest: ViewDigest,
 }
 
@@ -92,13 +93,13 @@
         self.members.values()
     }
 
-    /// Those of some of the finest parts of the view.
-    pub fn in_leaves(&self, parts: Range<u16>) -> impl Iterator<Item = &Member> {
-        let from = |part| (part, SocketAddr::from(([0, 0, 0, 0], 0)));
-        self.members.range(from(parts.start)..from(parts.end)).map(|(_, member)| member)
+    /// The members in a range of leaves.
+    pub fn in_leaves(&self, leaves: Range<u16>) -> impl Iterator<Item = &Member> {
+        let from = |leaf| (leaf, SocketAddr::from(([0, 0, 0, 0], 0)));
+        self.members.range(from(leaves.start)..from(leaves.end)).map(|(_, member)| member)
     }
 
-    /// The node itself has another identity.
+    /// Sets the identity of the node itself.
     pub fn set_local(&mut self, before: Option<&Peer>, own: &Peer) {
         if let Some(before) = before.filter(|before| !before.observer) {
             self.digest.remove(before.address, identity_hash(before));
@@ -108,7 +109,7 @@
         }
     }
 
-    /// An address has another identity, which stands as the one before did.
+    /// Sets a new identity for an address; its status stays.
     pub fn replace_identity(&mut self, peer: &Peer) {
         let Some(mut member) = self.take(&peer.address) else { return };
         (member.peer, member.identity_hash, member.tag) =
@@ -117,60 +118,52 @@
         self.put(member);
     }
 
-    /// A peer was heard in this version of the envelope.
+    /// Records the envelope version of a peer's datagram.
     pub fn set_schema(&mut self, address: &SocketAddr, schema: u16) {
         if let Some(member) = self.members.get_mut(&key(address)) {
             member.schema = schema;
         }
     }
 
-    /// The engine was given a word on a life; whether it may have changed what the engine holds.
-    pub fn record_report(&mut self, peer: &Peer, word: ReportedState) -> bool {
+    /// Records a report that is given to the engine; returns whether it may change the state of the engine.
+    pub fn record_report(&mut self, peer: &Peer, report: ReportedState) -> bool {
         let Some(member) = self.members.get_mut(&key(&peer.address)) else { return true };
         if member.peer != *peer {
             return peer.supersedes(&member.peer);
         }
-        let news = word > member.reported && !member.status.is_departed();
-        if news {
-            member.reported = word;
+        let is_new = report > member.reported && !member.status.is_departed();
+        if is_new {
+            member.reported = report;
         }
-        news
+        is_new
     }
 
-    /// Sets how a peer stands; whether that is another standing than before.
-    pub fn set_status(&mut self, now: Micros, peer: &Peer, standing: PeerStatus) -> bool {
+    /// Sets the status of a peer; returns whether its status or identity has changed.
+    pub fn set_status(&mut self, now: Micros, peer: &Peer, status: PeerStatus) -> bool {
         let before = self.take(&peer.address);
         let same = before.as_ref().filter(|before| before.peer == *peer);
-        let is_new_update = same.is_none_or(|before| before.status != standing);
-        // A restart may be another version, and has its own incarnations.
-        let (schema, word) =
+        let changed = same.is_none_or(|before| before.status != status);
+        // A restarted process may run another version, and its incarnations start from zero.
+        let (schema, reported) =
             same.map_or((0, ReportedState::default()), |before| (before.schema, before.reported));
-        // An observer that goes is nobody's loss.
-        if !(peer.observer && standing != PeerStatus::Present) {
-            let (peer, life, tag) = (peer.clone(), identity_hash(peer), IdentityTag::of(peer));
-            self.put(Member {
-                peer,
-                identity_hash: life,
-                tag,
-                status: standing,
-                status_since: now,
-                schema,
-                reported: word,
-            });
+        // An observer is removed as soon as it is no longer present.
+        if !(peer.observer && status != PeerStatus::Present) {
+            let (peer, identity_hash, tag) = (peer.clone(), identity_hash(peer), IdentityTag::of(peer));
+            self.put(Member { peer, identity_hash, tag, status, status_since: now, schema, reported });
         }
-        is_new_update
+        changed
     }
 
-    /// All of them by name, as a view tells them.
+    /// All peers, sorted by name and address.
     pub fn records(&self, now: Micros) -> Vec<PeerRecord> {
         let mut members: Vec<_> = self.members.values().collect();
         members.sort_by(|a, b| (&a.peer.name, a.peer.address).cmp(&(&b.peer.name, b.peer.address)));
-        let seen = members.into_iter().map(|member| PeerRecord {
+        let records = members.into_iter().map(|member| PeerRecord {
             peer: member.peer.clone(),
             status: member.status,
             status_age_us: now.saturating_sub(member.status_since),
         });
-        seen.collect()
+        records.collect()
     }
 
     fn take(&mut self, address: &SocketAddr) -> Option<Member> {
--- a/src/peers/membership/members/tests.rs
+++ b/src/peers/membership/members/tests.rs
@@ -1,16 +1,9 @@
 use super::*;
 use crate::peers::membership::digest::Bucketing;
 
-fn peer(host: u8, order: u64) -> Peer {
+fn peer(host: u8, generation: u64) -> Peer {
     let address = SocketAddr::from(([10, 0, 0, host], 7_946));
-    Peer {
-        address,
-        generation: order,
-        salt: 1,
-        observer: false,
-        name: format!("n{host}"),
-        metadata: Vec::new(),
-    }
+    Peer { address, generation, salt: 1, observer: false, name: format!("n{host}"), metadata: Vec::new() }
 }
 
 fn recomputed_digest(table: &MemberTable) -> u64 {
@@ -21,7 +14,7 @@
 }
 
 #[test]
-fn a_standing_is_news_once_and_so_is_another_life() {
+fn setting_status_reports_each_new_status_and_identity_once() {
     let mut table = MemberTable::new();
     assert!(table.set_status(1, &peer(1, 1), PeerStatus::Present));
     assert!(!table.set_status(2, &peer(1, 1), PeerStatus::Present));
@@ -31,7 +24,7 @@
 }
 
 #[test]
-fn an_observer_is_counted_by_nobody_and_gone_when_it_goes() {
+fn observer_is_not_counted_and_is_removed_when_it_departs() {
     let mut table = MemberTable::new();
     let observer = Peer { observer: true, ..peer(1, 1) };
     table.set_status(1, &observer, PeerStatus::Present);
@@ -41,47 +34,47 @@
 }
 
 #[test]
-fn counts_and_digest_are_kept_up_with_every_change() {
+fn counts_and_digest_match_the_table_after_random_changes() {
     let mut random = fastrand::Rng::with_seed(1);
     let mut table = MemberTable::new();
-    let standings = [PeerStatus::Present, PeerStatus::Suspected, PeerStatus::Left, PeerStatus::Lost];
+    let statuses = [PeerStatus::Present, PeerStatus::Suspected, PeerStatus::Left, PeerStatus::Lost];
     for step in 0..5_000 {
         let who = Peer { observer: random.u8(0..10) == 0, ..peer(random.u8(..), random.u64(0..4)) };
         match random.u8(0..4) {
             0 => table.replace_identity(&who),
-            _ => drop(table.set_status(step, &who, standings[random.usize(0..4)])),
+            _ => drop(table.set_status(step, &who, statuses[random.usize(0..4)])),
         }
     }
     assert_eq!(table.digest().whole(), recomputed_digest(&table));
     let counted =
-        |standing| table.iter().filter(|member| member.status == standing && !member.peer.observer).count();
-    let [present, suspected, left, lost] = standings.map(counted);
+        |status| table.iter().filter(|member| member.status == status && !member.peer.observer).count();
+    let [present, suspected, left, lost] = statuses.map(counted);
     assert_eq!(table.counts(), StatusCounts { present, suspected, left, lost });
-    let partition = Bucketing::for_nodes(256);
+    let bucketing = Bucketing::for_nodes(256);
     let listed: usize =
-        (0..partition.buckets()).map(|part| table.in_leaves(partition.leaves(part)).count()).sum();
+        (0..bucketing.buckets()).map(|bucket| table.in_leaves(bucketing.leaves(bucket)).count()).sum();
     assert_eq!(listed, table.len());
 }
 
 #[test]
-fn a_word_is_news_by_the_order_of_swim() {
+fn reports_are_new_in_the_precedence_order_of_swim() {
     let mut table = MemberTable::new();
-    let (it, word) = (peer(1, 5), |incarnation, suspected| ReportedState { incarnation, suspected });
-    assert!(table.record_report(&it, word(0, false)), "of one that is unknown");
-    table.set_status(1, &it, PeerStatus::Present);
-    for (said, news) in [
-        (word(0, false), false),
-        (word(0, true), true),
-        (word(0, true), false),
-        (word(1, false), true),
-        (word(0, true), false),
-        (word(1, true), true),
-        (word(1, false), false),
+    let (known, report) = (peer(1, 5), |incarnation, suspected| ReportedState { incarnation, suspected });
+    assert!(table.record_report(&known, report(0, false)), "the peer is unknown");
+    table.set_status(1, &known, PeerStatus::Present);
+    for (reported, is_new) in [
+        (report(0, false), false),
+        (report(0, true), true),
+        (report(0, true), false),
+        (report(1, false), true),
+        (report(0, true), false),
+        (report(1, true), true),
+        (report(1, false), false),
     ] {
-        assert_eq!(table.record_report(&it, said), news, "{said:?}");
+        assert_eq!(table.record_report(&known, reported), is_new, "{reported:?}");
     }
-    assert!(!table.record_report(&peer(1, 4), word(9, true)), "an older life");
-    assert!(table.record_report(&peer(1, 6), word(0, false)), "a later life");
-    table.set_status(2, &it, PeerStatus::Lost);
-    assert!(!table.record_report(&it, word(9, true)), "gone is gone");
+    assert!(!table.record_report(&peer(1, 4), report(9, true)), "an older identity");
+    assert!(table.record_report(&peer(1, 6), report(0, false)), "a later identity");
+    table.set_status(2, &known, PeerStatus::Lost);
+    assert!(!table.record_report(&known, report(9, true)), "the peer has departed");
 }
--- a/src/peers/membership/mod.rs
+++ b/src/peers/membership/mod.rs
@@ -1,5 +1,5 @@
-//! Who is present: SWIM by the engine, and what is added to it. This module holds the parts together; each part has its
-//! own module and its own state.
+//! The membership protocol: SWIM, which the engine implements, and the extensions to it. This module connects the parts;
+//! each has its own module and its own state.
 
 pub(super) mod admission;
 mod agreement;
@@ -55,29 +55,29 @@
 use suspicion::{DepartureReports, SuspectNotifier};
 use timers::{TimerEvent, TimerQueue};
 
-/// Peers that are held at the most; datagrams of others are dropped.
+/// Maximum number of known peers; datagrams from further ones are dropped.
 const MAX_PEERS: usize = 20_000;
-/// A timer that comes later than this was not late: the process stood still, and its own time with it.
+/// If a timer runs later than this, the process is taken to have been suspended, and its timers are postponed.
 const SUSPEND_THRESHOLD: Micros = 700_000;
-/// Agreement is reviewed this often.
+/// The interval of the periodic review.
 const REVIEW_INTERVAL: Micros = SETTLE_TIME / 4;
 
-/// One process's part in the membership.
+/// The membership state of one process.
 pub(super) struct Membership {
     config: PeersConfig,
     local_peer: Peer,
     engine: Engine,
     leave_messages: LeaveMessages,
-    /// How many of them the members were held against.
+    /// The number of received leave messages when they were last applied to the members.
     leave_messages_seen: u64,
     random: fastrand::Rng,
     timers: TimerQueue,
     members: MemberTable,
-    /// The engine may suspect others than the table says.
+    /// Whether the suspicions of the engine may differ from those in the table.
     suspicions_changed: bool,
     suspect_notifier: SuspectNotifier,
     departure_reports: DepartureReports,
-    /// Of this process, as the engine last told it.
+    /// The incarnation of this process, as last seen in a message of the engine.
     incarnation: foca::Incarnation,
     joining: Joining,
     agreement: AgreementTracker,
@@ -87,28 +87,28 @@
     repair: Repair,
     pacing: Pacing,
     round_trips: RoundTrips,
-    /// No probe begins before that.
+    /// No probe starts before this time.
     next_probe_at: Micros,
     traffic: Traffic,
     replaced: Vec<Peer>,
-    /// It has left, or gave its name up.
+    /// It has left the cluster, or yielded its name.
     left: bool,
 }
 
 impl Membership {
-    /// A process that has not met anybody. `seed`: for its random draws.
-    pub fn new(config: PeersConfig, me: Peer, seed: u64, now: Micros) -> Self {
+    /// A process that knows no other one yet. `seed`: seeds its random number generators.
+    pub fn new(config: PeersConfig, local_peer: Peer, seed: u64, now: Micros) -> Self {
         let random = SmallRng::seed_from_u64(seed);
-        let changes = ChangeRate::new(now);
-        let plan = changes.plan(now);
-        let settings = config.engine_config(config.configured_nodes as usize, 0, plan);
+        let change_rate = ChangeRate::new(now);
+        let gossip_plan = change_rate.plan(now);
+        let settings = config.engine_config(config.configured_nodes as usize, 0, gossip_plan);
         let leave_messages = LeaveMessages::default();
         let handler = leave_messages.clone();
         let engine =
-            Engine::with_custom_broadcast(me.clone(), settings, random, foca::PostcardCodec, handler);
-        let memory = micros(config.node_count.peak_window);
+            Engine::with_custom_broadcast(local_peer.clone(), settings, random, foca::PostcardCodec, handler);
+        let peak_window = micros(config.node_count.peak_window);
         let mut members = MemberTable::new();
-        members.set_local(None, &me);
+        members.set_local(None, &local_peer);
         let mut membership = Self {
             engine,
             leave_messages,
@@ -121,10 +121,10 @@
             departure_reports: DepartureReports::default(),
             incarnation: 0,
             joining: Joining::new(config.seeds.clone()),
-            agreement: AgreementTracker::new(now, memory),
+            agreement: AgreementTracker::new(now, peak_window),
             node_count: EffectiveNodeCount::new(config.node_count, config.configured_nodes),
-            change_rate: changes,
-            gossip_plan: plan,
+            change_rate,
+            gossip_plan,
             repair: Repair::new(seed.rotate_left(32)),
             pacing: Pacing::new(now),
             round_trips: RoundTrips::default(),
@@ -133,7 +133,7 @@
             replaced: Vec::new(),
             left: false,
             config,
-            local_peer: me,
+            local_peer,
         };
         membership.update_view(now);
         membership.timers.add(now, TimerEvent::Join);
@@ -141,45 +141,45 @@
         membership
     }
 
-    /// When it wants to be called next.
+    /// When the next timer is due.
     pub fn next_timer(&self) -> Option<Micros> {
         self.timers.next_due()
     }
 
-    /// Itself, as others know it.
+    /// The identity under which other nodes know this process.
     pub fn local_peer(&self) -> &Peer {
         self.engine.identity()
     }
 
-    /// Nodes that are present, itself among them.
+    /// The number of nodes that are present, including this one.
     fn nodes(&self) -> u32 {
         let counts = self.members.counts();
         (counts.present + counts.suspected) as u32 + u32::from(!self.local_peer.observer)
     }
 
-    /// Whether it has left, or gave its name up.
+    /// Whether it has left the cluster, or yielded its name.
     pub fn has_left(&self) -> bool {
         self.left
     }
 
-    /// Whether this life of a node is present, as far as is known here.
-    pub fn is_present(&self, life: &IdentityKey) -> bool {
-        let held = self.members.get(&life.address);
+    /// Whether a node with this identity is present.
+    pub fn is_present(&self, identity: &IdentityKey) -> bool {
+        let held = self.members.get(&identity.address);
         held.is_some_and(|held| {
-            !held.peer.observer && !held.status.is_departed() && IdentityKey::from(&held.peer) == *life
+            !held.peer.observer && !held.status.is_departed() && IdentityKey::from(&held.peer) == *identity
         })
     }
 
-    /// Peers of which another life took the place since this was last asked, where the standing stayed the same.
+    /// Peers whose identity was replaced, with the same status, since the last call. Returns the new identities.
     pub fn take_replaced(&mut self) -> Vec<Peer> {
         std::mem::take(&mut self.replaced)
     }
 
-    /// Time has come for what is due.
+    /// Runs the timers that are due.
     pub fn run_timers(&mut self, now: Micros, out: &mut Vec<Output>) {
         let late = now.saturating_sub(self.next_timer().unwrap_or(now));
         if late > SUSPEND_THRESHOLD {
-            // Its own clock stood still: all that was due is due as much later.
+            // The process was suspended: all timers are delayed by that time.
             self.timers.postpone_all(late);
             self.agreement.reset_after_suspend(now);
             self.round_trips.forget_outstanding();
@@ -216,17 +216,17 @@
         if let Some(suspect) = &suspect {
             self.suspect_notifier.remove(suspect);
         }
-        // An error is a probe whose timers came out of order, after a sleep: the next one begins anew.
+        // It fails if timers of a probe run out of order, after a suspension; the next probe starts afresh.
         let _ = self.engine.handle_timer(timer, &mut effects);
         if !effects.removes_members() {
-            // foca 2.0 tells a suspect that it is gone even where that one has cleared itself meanwhile: it would come back
-            // under a new identity, and every view with it.
+            // foca 2.0 notifies a suspect that it is down even if it has refuted the suspicion meanwhile. It would rejoin
+            // under a new identity, and every view would change.
             effects.messages.retain(|message| Some(message.to) != suspect);
         }
         self.apply(now, effects, out);
     }
 
-    /// The engine passes on less while much changes.
+    /// Adapts the gossip limits of the engine to the rate of changes.
     fn follow_change_rate(&mut self, now: Micros) {
         let plan = self.change_rate.plan(now);
         if plan != self.gossip_plan {
@@ -235,16 +235,16 @@
         }
     }
 
-    /// Says farewell: the others know at once, and suspect nothing.
+    /// Sends leave messages, so that the other nodes know at once and need not suspect this one.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.left {
             return;
         }
-        let farewell =
+        let message =
             LeaveMessage { address: self.local_peer().address, generation: self.local_peer().generation };
         let mut effects = EngineEffects::default();
-        if let Ok(data) = postcard::to_stdvec(&farewell) {
-            // Errors would be of its size alone, which is bounded.
+        if let Ok(data) = postcard::to_stdvec(&message) {
+            // It only fails for a message that is too long, and the length is bounded.
             let _ = self.engine.add_broadcast(&data);
             let _ = self.engine.broadcast(&mut effects);
         }
@@ -254,7 +254,7 @@
         self.timers.clear();
     }
 
-    /// The figures of its view, without the list of peers.
+    /// A summary of the view, without the list of peers.
     pub fn summary(&self) -> ViewSummary {
         ViewSummary {
             nodes: self.nodes(),
@@ -264,12 +264,12 @@
         }
     }
 
-    /// What it sent up to now.
+    /// The traffic sent so far, by kind.
     pub fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    /// What it sees.
+    /// The view of the cluster.
     pub fn view(&self, now: Micros) -> View {
         View {
             peers: self.members.records(now),
@@ -282,20 +282,20 @@
         }
     }
 
-    /// Asks seeds, and peers that it knew, for whoever is there; for as long as it lives.
+    /// Contacts seeds, and nodes known earlier, for their member lists. It repeats for the lifetime of the process.
     fn join(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let alone = self.engine.num_members() == 0;
-        let me = self.local_peer().address;
+        let isolated = self.engine.num_members() == 0;
+        let own = self.local_peer().address;
         let nodes = self.members.iter().filter(|member| !member.peer.observer);
-        let acquaintance = |member: &Member| match member.status {
+        let known_node = |member: &Member| match member.status {
             PeerStatus::Present => KnownNode::Present,
             _ => KnownNode::Absent,
         };
-        let known: BTreeMap<_, _> = nodes.map(|member| (member.peer.address, acquaintance(member))).collect();
-        let attempt = self.joining.attempt(me, alone, &known, &mut self.random);
+        let known: BTreeMap<_, _> = nodes.map(|member| (member.peer.address, known_node(member))).collect();
+        let attempt = self.joining.attempt(own, isolated, &known, &mut self.random);
         let mut effects = EngineEffects::default();
         for address in attempt.addresses {
-            // Errors would be of its size alone.
+            // It only fails for a message that is too long, which cannot occur.
             let _ = self.engine.announce(placeholder_peer(address), &mut effects);
         }
         self.apply(now, effects, out);
@@ -307,7 +307,7 @@
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
 
-/// Whoever is there, as an announcement name_conflict it.
+/// A placeholder for the unknown identity at an address, which an announce is sent to.
 fn placeholder_peer(address: SocketAddr) -> Peer {
     Peer { address, generation: 0, salt: 0, observer: false, name: String::new(), metadata: Vec::new() }
 }
--- a/src/peers/membership/name_conflict.rs
+++ b/src/peers/membership/name_conflict.rs
@@ -1,23 +1,23 @@
-//! Two processes of one name: both say so, and the one that goes before keeps it.
+//! Detection of two processes with the same name. Both report it, and the one that supersedes the other keeps the name.
 
 use crate::peers::identity::Peer;
 
 /// Another process that claims this one's name.
 pub(super) struct NameConflict {
     pub other: Peer,
-    /// Whether this process gives way.
+    /// Whether this process yields the name.
     pub yields: bool,
 }
 
-/// Looks for one among the members.
+/// Finds a member that claims the name of the local peer.
 pub(super) fn find_conflict<'a>(
-    me: &Peer,
+    local_peer: &Peer,
     mut members: impl Iterator<Item = &'a Peer>,
 ) -> Option<NameConflict> {
-    if me.observer {
+    if local_peer.observer {
         return None;
     }
-    let by = members.find(|peer| !peer.observer && peer.name == me.name)?.clone();
-    let yields = by.supersedes(me);
-    Some(NameConflict { other: by, yields })
+    let other = members.find(|peer| !peer.observer && peer.name == local_peer.name)?.clone();
+    let yields = other.supersedes(local_peer);
+    Some(NameConflict { other, yields })
 }
--- a/src/peers/membership/pacing.rs
+++ b/src/peers/membership/pacing.rs
@@ -1,35 +1,35 @@
-//! How many bytes membership may send, and what waits where they are short.
+//! The byte budget of membership, and the priorities by which messages wait or are reduced when it is low.
 
 use crate::peers::budget::{ByteBudget, TrafficClass};
 use crate::peers::Micros;
 
-/// Bytes that membership sends in any 5 s at the most, but for probes and their answers, which always go: 8,000 a second
-/// on the mean. The rate over 5 s and the depth together come to that.
+/// Membership sends at most 8,000 bytes per second on average over any 5 s, which is this rate for 5 s plus the burst.
+/// Probes and their answers are charged but always sent.
 const BYTES_PER_SECOND: u32 = 7_000;
 const BURST_BYTES: u32 = 5_000;
-/// A message of gossip without news, and what each piece of news adds: two identities, and one.
+/// Length of a gossip message without updates, which has two identities, and of each update, which has one.
 const EMPTY_GOSSIP_BYTES: usize = 140;
 const UPDATE_BYTES: usize = 34;
-/// A message is no longer than this.
+/// Upper bound for the length of a message.
 const MAX_MESSAGE_BYTES: usize = 1_200;
-/// Gossip that waits for bytes is tried again after this time at the earliest and at the latest.
+/// The minimum and maximum time after which gossip that waits for the budget is tried again.
 const GOSSIP_WAIT_RANGE: (Micros, Micros) = (50_000, 500_000);
-/// Members in a list while bytes are short: enough to have company, which repair needs.
+/// Number of members in a list while the budget is low: enough peers for repair to work with.
 const REDUCED_LIST_MEMBERS: usize = 4;
 const REDUCED_LIST_BYTES: usize = 300;
-/// A list of no more bytes is sent whole to one that repairs its view as well: it may be all that there is to know.
+/// Up to this length a list is sent in full even to a peer that also repairs its view, as it may be the complete list.
 const SHORT_LIST_BYTES: usize = 600;
 
-/// What a message of the repair is.
+/// The priority of a repair message, which follows from its purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RepairPriority {
-    /// It begins a comparison; the first to wait.
+    /// It starts a comparison.
     Comparison,
-    /// It lists lives: what it brings is asked for by shorter messages.
+    /// It lists identities, whose records are then requested by shorter messages.
     Listing,
-    /// It asks for records, brings them, or says who is gone: what came before it is lost without it.
+    /// It requests or carries records, or reports departures; without it, the exchange so far was in vain.
     Response,
-    /// It tells a digest to one that asked; the first of all to wait, as any later datagram tells it too.
+    /// It only reports the digest to a peer that requested it. It has the lowest priority, as any later datagram does so too.
     Optional,
 }
 
@@ -43,13 +43,13 @@
     }
 }
 
-/// Pieces of news on a probe or its answer while bytes are short, and while there are none.
+/// Number of updates on a probe or its answer while the budget is low, and while it is exhausted.
 const REDUCED_UPDATES: usize = 4;
 const MIN_UPDATES: usize = 1;
-/// Bytes that are left to comparisons by what may be spared.
+/// Bytes that optional messages leave to comparisons.
 const OPTIONAL_RESERVE_BYTES: usize = 1_500;
 
-/// The bytes that membership may send.
+/// Paces what membership sends by a byte budget.
 pub(super) struct Pacing {
     budget: ByteBudget,
 }
@@ -59,24 +59,24 @@
         Self { budget: ByteBudget::new(BYTES_PER_SECOND, BURST_BYTES, now) }
     }
 
-    /// What goes in any case.
+    /// Charges bytes that are sent in any case.
     pub fn charge(&mut self, now: Micros, bytes: usize) {
         self.budget.charge(now, bytes);
     }
 
-    /// Whether a message of the repair may go.
+    /// Whether a repair message may be sent; if so, its bytes are charged.
     pub fn try_take(&mut self, now: Micros, priority: RepairPriority, bytes: usize) -> bool {
-        let spare = if priority == RepairPriority::Optional { OPTIONAL_RESERVE_BYTES } else { 0 };
-        let allowed = self.budget.time_until_available(now, priority.class(), bytes + spare) == Some(0);
+        let reserve = if priority == RepairPriority::Optional { OPTIONAL_RESERVE_BYTES } else { 0 };
+        let allowed = self.budget.time_until_available(now, priority.class(), bytes + reserve) == Some(0);
         allowed && self.budget.try_take(now, priority.class(), bytes)
     }
 
-    /// Whether a message of the repair may go, however long.
+    /// Whether a repair message of maximum length may be sent.
     pub fn allows(&mut self, now: Micros, priority: RepairPriority) -> bool {
         self.budget.time_until_available(now, priority.class(), MAX_MESSAGE_BYTES) == Some(0)
     }
 
-    /// How long a round of gossip has to wait; none where it may go.
+    /// How long a gossip round must wait; `None` if it may run now.
     pub fn gossip_wait(&mut self, now: Micros, fan_out: usize, backlog: usize) -> Option<Micros> {
         if backlog == 0 {
             return None;
@@ -90,24 +90,24 @@
         }
     }
 
-    /// How many pieces of news may ride on a message that goes in any case.
+    /// Maximum number of updates on a message that is sent in any case.
     pub fn updates_per_message(&mut self, now: Micros) -> usize {
         let levels = [(TrafficClass::Repair, usize::MAX), (TrafficClass::Configuration, REDUCED_UPDATES)];
         let allowed = levels
             .iter()
             .find(|(class, _)| self.budget.time_until_available(now, *class, MAX_MESSAGE_BYTES) == Some(0));
-        allowed.map_or(MIN_UPDATES, |(_, news)| *news)
+        allowed.map_or(MIN_UPDATES, |(_, updates)| *updates)
     }
 
-    /// How many members a list of so many bytes may hold; none where it may not go. `repairs`: its reader compares views,
-    /// and asks for what it lacks.
+    /// How many members a list with this many bytes may contain; `None` if it may not be sent. `repairs`: its receiver
+    /// compares views and requests what it lacks.
     pub fn members_in_feed(&mut self, now: Micros, repairs: bool, bytes: usize) -> Option<usize> {
         let whole = !repairs || bytes <= SHORT_LIST_BYTES;
         if whole && self.budget.time_until_available(now, TrafficClass::Log, bytes) == Some(0) {
             return Some(usize::MAX);
         }
-        let short = self.budget.time_until_available(now, TrafficClass::Membership, REDUCED_LIST_BYTES);
-        (short == Some(0)).then_some(REDUCED_LIST_MEMBERS)
+        let reduced = self.budget.time_until_available(now, TrafficClass::Membership, REDUCED_LIST_BYTES);
+        (reduced == Some(0)).then_some(REDUCED_LIST_MEMBERS)
     }
 }
 
--- a/src/peers/membership/pacing/tests.rs
+++ b/src/peers/membership/pacing/tests.rs
@@ -3,12 +3,12 @@
 const SECOND: Micros = 1_000_000;
 
 #[test]
-fn what_may_wait_keeps_any_five_seconds_within_the_bound() {
+fn deferrable_bytes_stay_within_the_limit_over_any_five_seconds() {
     let mut pacing = Pacing::new(0);
     let mut sent = Vec::new();
     for tick in 0..2_000u64 {
         let now = tick * SECOND / 100;
-        // A quiet time first saves up, a storm of requests follows.
+        // The bucket fills up during an idle time, before a storm of requests.
         if now > 8 * SECOND && pacing.try_take(now, RepairPriority::Response, 1_000) {
             sent.push((now, 1_000));
         }
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn comparisons_wait_before_gossip_and_gossip_before_answers() {
+fn comparisons_are_held_back_before_gossip_and_gossip_before_responses() {
     let mut pacing = Pacing::new(0);
     while pacing.try_take(0, RepairPriority::Comparison, 100) {}
     assert_eq!(pacing.gossip_wait(0, 1, 10), None);
@@ -31,11 +31,11 @@
     }
     assert!(pacing.try_take(0, RepairPriority::Response, 100));
     assert!(pacing.gossip_wait(0, 1, 10) >= Some(GOSSIP_WAIT_RANGE.0));
-    assert_eq!(pacing.gossip_wait(0, 1, 0), None, "without news nothing is sent");
+    assert_eq!(pacing.gossip_wait(0, 1, 0), None, "without updates nothing is sent");
 }
 
 #[test]
-fn lists_become_short_and_then_end_while_bytes_lack() {
+fn member_lists_are_reduced_and_then_dropped_as_the_budget_runs_out() {
     let mut pacing = Pacing::new(0);
     assert_eq!(pacing.members_in_feed(0, false, 1_200), Some(usize::MAX));
     pacing.charge(0, BURST_BYTES as usize - 1_000);
@@ -46,6 +46,6 @@
     assert_eq!(
         pacing.members_in_feed(2 * SECOND, true, 1_200),
         Some(REDUCED_LIST_MEMBERS),
-        "it asks for what it lacks"
+        "the receiver requests what it lacks"
     );
 }
--- a/src/peers/membership/receiving.rs
+++ b/src/peers/membership/receiving.rs
@@ -1,4 +1,4 @@
-//! Datagrams that come: what in them is news goes to the engine, the rest to the part that it is for.
+//! Handling of received datagrams: new member updates and messages go to the engine, extensions to repair.
 
 use foca::State;
 
@@ -11,7 +11,7 @@
 use crate::peers::{Micros, Output};
 
 impl Membership {
-    /// A datagram of this cluster has come.
+    /// Handles a received datagram of this cluster.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -21,7 +21,7 @@
         if envelope.schema >= EXTENSIONS_MIN_SCHEMA && envelope.payload.is_empty() {
             return self.receive_extensions(now, envelope, out);
         }
-        // Who sent it is in it: behind a relay or a mapping it comes from elsewhere.
+        // The sender is taken from the message: the source address of the datagram differs behind a proxy or a NAT.
         let message = InboundMessage::decode(envelope.payload).ok_or(DropReason::Malformed)?;
         let sender = message.header.src.address;
         let known = self.members.get(&sender).is_some();
@@ -37,7 +37,7 @@
         handled
     }
 
-    /// Gives the engine the words on members that may be news to it, and then the message itself.
+    /// Gives the engine the member updates that may be new to it, and then the message itself.
     pub(super) fn hand_to_engine(
         &mut self,
         now: Micros,
@@ -48,22 +48,22 @@
         let source = &message.header.src;
         let is_departed = |held: &Member| held.status.is_departed() && !source.supersedes(&held.peer);
         let sender_is_gone = self.members.get(&source.address).is_some_and(is_departed);
-        // The engine would not take them from one that it holds for gone, nor what was meant for another life.
+        // The engine ignores updates from a departed sender, and in a message to another identity of this process.
         let accepted = message.header.dst == *self.local_peer() && !sender_is_gone;
         if accepted {
-            let word = ReportedState { incarnation: message.header.src_incarnation, suspected: false };
-            self.suspicions_changed |= self.members.record_report(source, word);
+            let report = ReportedState { incarnation: message.header.src_incarnation, suspected: false };
+            self.suspicions_changed |= self.members.record_report(source, report);
         }
-        // A list of members is news to its reader alone.
+        // A member list is new only to its receiver, so its updates are not gossiped.
         let pass_on = message.header.message != foca::Message::Feed;
         let own = self.local_peer().address;
         let updates = if accepted { std::mem::take(&mut message.updates) } else { Vec::new() };
         let (of_me, of_others): (Vec<_>, Vec<_>) =
             updates.into_iter().partition(|update| update.id().address == own);
-        // A word on this node goes first: the answer to the message clears it.
+        // Updates about this node are applied first, so that the answer to the message refutes a suspicion.
         self.apply_updates(now, of_me, pass_on, out);
-        // One that was taken for gone has another identity since: whoever asks for the earlier one hears that from the
-        // answer. Without an answer it would suspect a living process.
+        // A process that was declared down has a new identity. A prober of its earlier identity must get an answer, which
+        // carries the new one; otherwise it would suspect a living process.
         if message.is_probe() && message.header.dst.is_earlier_identity_of(self.local_peer()) {
             message.readdress(self.local_peer().clone());
         }
@@ -74,17 +74,18 @@
         let payload = message.without_updates();
         let mut effects = EngineEffects::default();
         let handled = self.engine.handle_data(&payload, &mut effects);
-        let answers = std::mem::take(&mut effects.messages);
+        let responses = std::mem::take(&mut effects.messages);
         self.apply(now, effects, out);
-        // What is answered depends on what its reader reads.
+        // How responses are sent depends on the envelope version of the sender.
         self.members.set_schema(&message.header.src.address, schema);
-        self.send(now, answers, out);
-        // LeaveMessages rode on the message: those that they are of are known for having left.
+        self.send(now, responses, out);
+        // Other updates come last: leave messages in this message are known by now, so their peers count as left.
         self.apply_updates(now, of_others, pass_on, out);
         handled.map_err(|_| DropReason::Malformed)
     }
 
-    /// Gives the engine words that may be news. Those beyond what may wait to be passed on are left to repair.
+    /// Gives the engine updates that may be new to it. They are gossiped only while the gossip queue has room; beyond that,
+    /// spreading them is left to repair.
     pub(super) fn apply_updates(
         &mut self,
         now: Micros,
@@ -99,14 +100,14 @@
             if room && inbound::is_new_update(&mut self.members, &update) {
                 self.suspicions_changed |= update.state() != State::Down;
                 let pass_on = pass_on && self.engine.updates_backlog() < self.gossip_plan.max_backlog;
-                // Errors would be of its size alone.
+                // It only fails for an update that is too long, which cannot occur.
                 let _ = self.engine.apply_many([update].into_iter(), pass_on, &mut effects);
             }
         }
         self.apply(now, effects, out);
     }
 
-    /// A datagram with extensions alone: it tells its sender's digest, where that one is present.
+    /// Handles a datagram that carries only extensions. It counts if its sender is present.
     pub(super) fn receive_extensions(
         &mut self,
         now: Micros,
--- a/src/peers/membership/repair.rs
+++ b/src/peers/membership/repair.rs
@@ -13,7 +13,7 @@
 //!
 //! No message depends on an earlier one: if one is lost, the next comparison repeats what it would have done. Identities
 //! are listed as tags of eight bytes; a full identity is sent only on request. An identity that its process renewed after
-//! being declared gone is never sent in full: it can be derived from the previous identity and is recognized by its tag.
+//! being declared down is never sent in full: it can be derived from the previous identity and is recognized by its tag.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
@@ -173,7 +173,7 @@
 enum LocalKnowledge<'a> {
     Held,
     Departed(&'a Member),
-    /// It is a renewal of a known identity, which its process made after it was declared gone.
+    /// It is a renewal of a known identity, which its process made after it was declared down.
     Renewed(Peer),
     /// A later identity with this address is known.
     Superseded,
--- a/src/peers/membership/repairing.rs
+++ b/src/peers/membership/repairing.rs
@@ -1,4 +1,4 @@
-//! Views that differ are compared, and what is missing is told: the repair at work on the members.
+//! Runs the repair protocol: compares views with peers, and applies the results to the members.
 
 use foca::State;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 use crate::peers::envelope::{Extension, EXTENSIONS_MIN_SCHEMA};
 use crate::peers::{Micros, Output};
 
-/// Peers whose view differed when they were last heard are asked to compare; so many at once. While much changes, each
-/// comparison brings much, and others at the same time would bring the same.
-const COMPARE_WIDTH: usize = 8;
-const COMPARE_WIDTH_IN_BURST: usize = 2;
+/// How many peers that reported a differing view are asked at once to compare. During a burst of changes each comparison
+/// transfers many members, and concurrent ones would transfer the same.
+const MAX_COMPARISONS: usize = 8;
+const MAX_COMPARISONS_IN_BURST: usize = 2;
 
 impl Membership {
     pub(super) fn receive_repair(
@@ -28,16 +28,16 @@
         out: &mut Vec<Output>,
     ) {
         if message == RepairMessage::RequestDigests {
-            return self.answer_comparison(now, from, out);
+            return self.send_digests(now, from, out);
         }
         let view =
             LocalView { local_peer: self.engine.identity(), members: &self.members, nodes: self.nodes() };
         let outcome = self.repair.receive(now, view, message);
-        self.carry_out_repair(now, from, outcome, out);
+        self.apply_repair_outcome(now, from, outcome, out);
     }
 
-    /// Tells the present digest, and those of parts where the peer's view differed when it asked.
-    pub(super) fn answer_comparison(&mut self, now: Micros, to: SocketAddr, out: &mut Vec<Output>) {
+    /// Responds to a peer that requested digests: with the present digest, and with those of the buckets if the views differ.
+    pub(super) fn send_digests(&mut self, now: Micros, to: SocketAddr, out: &mut Vec<Output>) {
         let mut messages = Vec::new();
         let differs = self.agreement.differs(&to);
         if differs && self.pacing.allows(now, RepairPriority::Comparison) && self.repair.try_send_digests(now)
@@ -51,7 +51,7 @@
         self.send_repair(now, to, priority, messages, out);
     }
 
-    pub(super) fn carry_out_repair(
+    pub(super) fn apply_repair_outcome(
         &mut self,
         now: Micros,
         from: SocketAddr,
@@ -66,7 +66,7 @@
         }
         let round_trip = self.round_trips.max_timeout();
         let mut updates = Vec::new();
-        let mut asked = Vec::new();
+        let mut unverified = Vec::new();
         for (peer, left) in outcome.departed {
             if left {
                 self.leave_messages
@@ -78,29 +78,29 @@
             match self.departure_reports.report(now, &peer, suspected, round_trip) {
                 _ if left || own => updates.push(MemberUpdate::down(peer)),
                 DepartureVerdict::Accept => updates.push(MemberUpdate::down(peer)),
-                DepartureVerdict::Verify => asked.push(peer),
+                DepartureVerdict::Verify => unverified.push(peer),
                 DepartureVerdict::Wait => {}
             }
         }
-        self.verify_departures(now, asked, out);
+        self.verify_departures(now, unverified, out);
         let peers: Vec<_> = outcome.alive.iter().map(|record| record.peer.clone()).collect();
         let alive = |record: Record| MemberUpdate::new(record.peer, record.incarnation, State::Alive);
         updates.extend(outcome.alive.into_iter().map(alive));
         if updates.is_empty() {
             return;
         }
-        // Others pull it as well: it is not passed on.
+        // Other peers pull these updates through repair too, so they are not gossiped.
         self.apply_updates(now, updates, false, out);
         for peer in peers {
-            let taken =
+            let accepted =
                 self.members.get(&peer.address).is_some_and(|held| held.is_counted() && held.peer == peer);
-            if !taken {
+            if !accepted {
                 self.repair.mark_rejected(now, &peer);
             }
         }
     }
 
-    /// Sends messages of the repair, where the budget has room for them.
+    /// Sends repair messages if the byte budget allows it.
     pub(super) fn send_repair(
         &mut self,
         now: Micros,
@@ -110,20 +110,22 @@
         out: &mut Vec<Output>,
     ) {
         let extensions = messages.into_iter().map(Extension::Repair).collect();
-        let Some(data) = self.repair_datagram(&to, extensions) else { return };
+        let Some(data) = self.extension_only_datagram(&to, extensions) else { return };
         if self.pacing.try_take(now, priority, data.len()) {
             self.traffic.add(TrafficKind::Repair, data.len());
             out.push(Output::Send { to, data });
         }
     }
 
-    /// Asks some of those whose view differed to compare: the answer tells a present digest, and where views differ.
+    /// Asks some peers that reported a differing view to compare. The response carries the present digest, and the digests
+    /// of the buckets if the views still differ.
     pub(super) fn compare_views(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let mut among = self.agreement.due_for_comparison(now);
-        among.sort_unstable();
-        self.random.shuffle(&mut among);
-        let width = if self.change_rate.is_burst(now) { COMPARE_WIDTH_IN_BURST } else { COMPARE_WIDTH };
-        for address in among.into_iter().take(width) {
+        let mut candidates = self.agreement.due_for_comparison(now);
+        candidates.sort_unstable();
+        self.random.shuffle(&mut candidates);
+        let max_comparisons =
+            if self.change_rate.is_burst(now) { MAX_COMPARISONS_IN_BURST } else { MAX_COMPARISONS };
+        for address in candidates.into_iter().take(max_comparisons) {
             self.agreement.mark_asked(now, &address);
             match self.members.get(&address).map(|held| held.schema) {
                 Some(schema) if schema >= EXTENSIONS_MIN_SCHEMA => {
@@ -135,18 +137,18 @@
                         out,
                     );
                 }
-                Some(1) => self.ask_for_list(now, address, out),
-                // One that was not heard yet will be.
+                Some(1) => self.request_member_list(now, address, out),
+                // The envelope version of the peer is not known yet.
                 _ => {}
             }
         }
     }
 
-    /// A peer of the first schema is asked for a list of members.
-    pub(super) fn ask_for_list(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<Output>) {
+    /// Requests a member list from a schema 1 peer, which does not support repair.
+    pub(super) fn request_member_list(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<Output>) {
         let Some(held) = self.members.get(&address) else { return };
         let mut effects = EngineEffects::default();
-        // Errors would be of its size alone.
+        // It only fails for a message that is too long, which cannot occur.
         let _ = self.engine.announce(held.peer.clone(), &mut effects);
         self.send(now, effects.messages, out);
     }
--- a/src/peers/membership/reviewing.rs
+++ b/src/peers/membership/reviewing.rs
@@ -1,4 +1,4 @@
-//! The regular review: suspicions, leave_messages, agreement, and what may be relied on.
+//! The periodic review of suspicions, leave messages, agreement and the effective node count.
 
 use foca::State;
 
@@ -10,11 +10,11 @@
 use crate::peers::identity::Peer;
 use crate::peers::{Micros, Output};
 
-/// Of the peers that one message says to be gone, so many are asked.
+/// Maximum number of peers probed per message that reports departures.
 const MAX_VERIFIED_AT_ONCE: usize = 3;
 
 impl Membership {
-    /// Looks at how far views lie apart, repairs, and judges what may be relied on.
+    /// Runs the periodic review, and starts comparisons with peers whose view differs.
     pub(super) fn review(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.left {
             return;
@@ -30,7 +30,7 @@
         self.compare_views(now, out);
     }
 
-    /// Says how far views lie apart, and what may be relied on.
+    /// Updates the agreement and the effective node count, and reports changes of them.
     pub(super) fn evaluate_agreement(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.left {
             return;
@@ -38,22 +38,22 @@
         let counts = self.members.counts();
         let members = MemberCounts { nodes: self.nodes(), suspected: counts.suspected, lost: counts.lost };
         out.extend(self.agreement.review(now, &members).map(Output::AgreementChanged));
-        // Fewer may be believed once those that are left agree, whatever became of the others: the count's own rule keeps
-        // what follows from it in bounds.
+        // The count may decrease once the remaining nodes agree, whatever happened to the others; its own rules bound the
+        // effect.
         if self.node_count.observe(now, members.nodes, self.agreement.is_agreed()) {
             out.push(Output::EffectiveNodes(self.node_count.get()));
         }
     }
 
-    /// Takes over whom the engine suspects, and whom it cleared.
+    /// Copies from the engine which members are suspected.
     pub(super) fn sync_suspicions(&mut self, now: Micros, out: &mut Vec<Output>) {
         if !std::mem::take(&mut self.suspicions_changed) {
             return;
         }
         let mut changed = Vec::new();
         for member in self.engine.iter_members() {
-            let standing = self.members.get(&member.id().address).map(|held| held.status);
-            match (member.state(), standing) {
+            let status = self.members.get(&member.id().address).map(|held| held.status);
+            match (member.state(), status) {
                 (State::Suspect, Some(PeerStatus::Present)) => {
                     changed.push((member.id().clone(), PeerStatus::Suspected));
                 }
@@ -64,29 +64,30 @@
             }
         }
         let any = !changed.is_empty();
-        for (peer, standing) in changed {
-            self.set_status(now, peer, standing, out);
+        for (peer, status) in changed {
+            self.set_status(now, peer, status, out);
         }
         if any {
             self.adapt_engine();
         }
     }
 
-    /// Asks some of those that others take for gone. Other nodes ask others, and hear of their answers by gossip.
+    /// Probes some of the peers that others report as departed. Other nodes probe others, and gossip spreads the answers.
     pub(super) fn verify_departures(&mut self, now: Micros, mut peers: Vec<Peer>, out: &mut Vec<Output>) {
         self.random.shuffle(&mut peers);
         peers.truncate(MAX_VERIFIED_AT_ONCE);
         peers.iter().for_each(|peer| self.departure_reports.mark_probed(now, peer));
-        let me = self.engine.identity();
+        let local_peer = self.engine.identity();
         let notices = peers.iter();
-        let notices = notices.filter_map(|peer| suspicion::departure_notice(me, self.incarnation, peer));
+        let notices =
+            notices.filter_map(|peer| suspicion::departure_notice(local_peer, self.incarnation, peer));
         let messages =
             notices.map(|notice| EngineMessage::new(notice.to, TrafficKind::Probe, notice.payload));
         let messages = messages.collect();
         self.send(now, messages, out);
     }
 
-    /// Tells those whom this node suspects, so that they can clear themselves.
+    /// Notifies the peers that this node suspects, so that they can refute the suspicion.
     pub(super) fn notify_suspects(&mut self, now: Micros, out: &mut Vec<Output>) {
         let members = &self.members;
         if members.counts().suspected > 0 {
@@ -110,15 +111,16 @@
         self.send(now, messages.collect(), out);
     }
 
-    /// A farewell may come after the word that its peer is gone.
+    /// Marks lost peers as left if their leave message arrived after the report of their departure.
     pub(super) fn sync_leave_messages(&mut self, now: Micros, out: &mut Vec<Output>) {
         let received = self.leave_messages.received();
         if received == std::mem::replace(&mut self.leave_messages_seen, received) {
             return;
         }
-        let said_farewell =
+        let sent_leave_message =
             |held: &&Member| held.status == PeerStatus::Lost && self.leave_messages.contains(&held.peer);
-        let left: Vec<_> = self.members.iter().filter(said_farewell).map(|held| held.peer.clone()).collect();
+        let left: Vec<_> =
+            self.members.iter().filter(sent_leave_message).map(|held| held.peer.clone()).collect();
         for peer in left {
             self.set_status(now, peer, PeerStatus::Left, out);
         }
--- a/src/peers/membership/round_trips.rs
+++ b/src/peers/membership/round_trips.rs
@@ -1,33 +1,33 @@
-//! How long peers take to answer, by this node's own probes, and how long a probe waits by that.
+//! Measured round-trip times of this node's probes, and the probe timeouts that follow from them.
 //!
-//! A probe to another region may take longer there and back than a probe within a zone takes with all its relays. So round
-//! trips are kept by region, smoothed and with their variation (RFC 6298), and each probe waits by those of the region that
-//! it goes to.
+//! The round trip to another region may take longer than a probe within a zone including its indirect probes. So round-trip
+//! times are smoothed per region, with their variation (RFC 6298), and each probe has the timeout of its peer's region.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use crate::peers::Micros;
 
-/// A probe of a region that was never measured waits so long at the least: more than between any two regions of the plan.
+/// Minimum timeout for a region without measurements: longer than the round trip between any two planned regions.
 const UNMEASURED_TIMEOUT: Micros = 500_000;
-/// No probe waits longer.
+/// Maximum timeout.
 const MAX_TIMEOUT: Micros = 2_000_000;
-/// Parts of the difference that a sample moves the mean and the variation by (RFC 6298, section 2).
+/// The gains by which a sample updates the mean and the variation (RFC 6298, section 2).
 const MEAN_GAIN: f64 = 1.0 / 8.0;
 const VARIATION_GAIN: f64 = 1.0 / 4.0;
-/// A probe waits the mean, this part of it, and so many times the variation.
+/// The timeout is the mean, plus this fraction of it, plus this many times the variation.
 const MEAN_MARGIN: f64 = 0.25;
 const VARIATION_FACTOR: f64 = 4.0;
-/// The way by a relay is two round trips: to the relay, and from there to the peer, which may be farther than any region is
-/// from here. Twice the max_timeout is enough for one of several relays.
+/// An indirect probe takes two round trips: to the relay, and from there to the peer, which may be farther from the relay
+/// than any region is from here. Twice the longest timeout is enough for at least one of several relays.
 const RELAY_ROUND_TRIPS: Micros = 2;
-/// Probes whose answers are waited for: an answer that comes after the next probe has begun tells the time as well.
+/// Maximum number of outstanding probes. More than one is kept, as an answer that arrives after the next probe has started
+/// is still a valid sample.
 const MAX_OUTSTANDING: usize = 8;
-/// Regions whose times are kept.
+/// Maximum number of regions that are tracked.
 const MAX_REGIONS: usize = 64;
 
-/// Smoothed round trips to one region, in microseconds.
+/// The smoothed round-trip time to one region, in microseconds.
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     mean: f64,
@@ -56,7 +56,7 @@
     sent: Micros,
 }
 
-/// Round trips by region, and the probes that are on their way.
+/// Round-trip times by region, and the outstanding probes.
 #[derive(Debug, Default)]
 pub(super) struct RoundTrips {
     by_region: BTreeMap<String, Estimate>,
@@ -64,7 +64,7 @@
 }
 
 impl RoundTrips {
-    /// A probe was sent.
+    /// Records a sent probe.
     pub fn sent(&mut self, now: Micros, to: SocketAddr, number: foca::ProbeNumber) {
         if self.outstanding.len() >= MAX_OUTSTANDING {
             self.outstanding.pop_front();
@@ -72,11 +72,11 @@
         self.outstanding.push_back(OutstandingProbe { to, number, sent: now });
     }
 
-    /// A probe was answered by the one that it was sent to, in this region.
+    /// Records the answer of the probed peer, which is in this region.
     pub fn acknowledged(&mut self, now: Micros, from: SocketAddr, number: foca::ProbeNumber, region: &str) {
         let matches = |probe: &OutstandingProbe| (probe.to, probe.number) == (from, number);
-        let Some(place) = self.outstanding.iter().position(matches) else { return };
-        let Some(probe) = self.outstanding.remove(place) else { return };
+        let Some(index) = self.outstanding.iter().position(matches) else { return };
+        let Some(probe) = self.outstanding.remove(index) else { return };
         let sample = now.saturating_sub(probe.sent) as f64;
         if let Some(estimate) = self.by_region.get_mut(region) {
             estimate.add(sample);
@@ -85,26 +85,26 @@
         }
     }
 
-    /// What was sent before a sleep is answered late for another reason.
+    /// Drops the outstanding probes after this process was suspended, as their answers are late for that reason alone.
     pub fn forget_outstanding(&mut self) {
         self.outstanding.clear();
     }
 
-    /// How long an answer from this region may take; `least`: no less than this.
-    pub fn timeout(&self, region: &str, least: Micros) -> Micros {
+    /// The timeout for a direct probe to this region.
+    pub fn timeout(&self, region: &str, min_timeout: Micros) -> Micros {
         let measured = self.by_region.get(region).map(Estimate::timeout);
         let timeout = measured.unwrap_or_else(|| self.max_timeout().max(UNMEASURED_TIMEOUT));
-        timeout.min(MAX_TIMEOUT).max(least)
+        timeout.min(MAX_TIMEOUT).max(min_timeout)
     }
 
-    /// How long the way to a peer by a relay and back may take: relays are drawn from all regions, and so may be as far from
-    /// the peer as any region is from here.
-    pub fn indirect_timeout(&self, least: Micros) -> Micros {
-        let max_timeout = if self.by_region.is_empty() { UNMEASURED_TIMEOUT } else { self.max_timeout() };
-        (max_timeout * RELAY_ROUND_TRIPS).min(MAX_TIMEOUT).max(least)
+    /// The timeout for indirect probes. Relays are chosen from all regions, so one may be as far from the peer as any region
+    /// is from here.
+    pub fn indirect_timeout(&self, min_timeout: Micros) -> Micros {
+        let longest = if self.by_region.is_empty() { UNMEASURED_TIMEOUT } else { self.max_timeout() };
+        (longest * RELAY_ROUND_TRIPS).min(MAX_TIMEOUT).max(min_timeout)
     }
 
-    /// The max_timeout that an answer from any region that was measured may take.
+    /// The longest timeout of all measured regions; 0 if there is none.
     pub fn max_timeout(&self) -> Micros {
         self.by_region.values().map(Estimate::timeout).max().unwrap_or(0)
     }
--- a/src/peers/membership/settings.rs
+++ b/src/peers/membership/settings.rs
@@ -1,4 +1,4 @@
-//! How a peer takes part, and the engine's settings that follow from it.
+//! The configuration of a peer, and the engine settings that are derived from it.
 
 use std::net::SocketAddr;
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -9,35 +9,37 @@
 use crate::peers::dissemination::DisseminationConfig;
 use crate::peers::envelope;
 
-/// With more than this part of its nodes suspected, a node trusts its own eyes less: suspects have longer to speak up, as
-/// those that could vouch for them are missing too (Lifeguard's local health: Dadgar, Phillips, Currey, 2018).
+/// With more than this fraction of its peers suspected, a node trusts its own observations less and extends the suspicion
+/// timeout, as peers that could confirm a suspect to be alive are unreachable too (local health in Lifeguard: Dadgar,
+/// Phillips, Currey, 2018).
 const MANY_SUSPECTS_FRACTION: f64 = 0.1;
-/// By so many times.
+/// The factor by which the suspicion timeout is then extended.
 const MANY_SUSPECTS_TIMEOUT_FACTOR: f64 = 3.0;
-/// Peers that are asked to probe one that did not answer. At 5% lost datagrams a probe of a living peer fails once in 50,000 times
-/// by five of them (a tenth of the direct probes, and a fifth of the ways by way of each), once in 1,600 by three.
+/// The number of peers that are asked to probe one that did not answer. At 5% datagram loss a direct probe fails with a
+/// probability of about a tenth and an indirect one with about a fifth, so a probe of a living peer fails once in 50,000
+/// times with five indirect probes and once in 1,600 with three.
 const INDIRECT_PROBES: usize = 5;
-/// The largest message of the engine.
+/// Maximum length of a message of the engine.
 pub(super) const MAX_ENGINE_PAYLOAD_BYTES: usize = envelope::MAX_DATAGRAM_BYTES - envelope::OVERHEAD_BYTES;
 
-/// How a peer takes part.
+/// The configuration of a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeersConfig {
-    /// Datagrams of another cluster are dropped.
+    /// The name of the cluster; datagrams of other clusters are dropped.
     pub cluster: String,
-    /// Where others may be found; any of them may be down.
+    /// Addresses to contact for joining; any of them may be down.
     pub seeds: Vec<SocketAddr>,
-    /// Each peer probes another one this often.
+    /// The interval at which each peer probes another one.
     pub probe_interval: Duration,
-    /// An answer that takes longer is asked for by way of others; at the most half of `probe_every`.
+    /// After this time without an answer, indirect probes are sent; at most half of `probe_interval`.
     pub probe_timeout: Duration,
-    /// Suspects have this many times `probe_every`, and more the more peers there are, to speak up.
+    /// The suspicion timeout as a multiple of `probe_interval`; it also grows with the number of peers.
     pub suspicion_multiplier: f64,
-    /// When fewer nodes may be believed.
+    /// When the effective node count may decrease.
     pub node_count: NodeCountRules,
     /// The configured number of nodes.
     pub configured_nodes: u32,
-    /// How it takes part in dissemination; none: it does not.
+    /// The configuration of dissemination; `None` if this node takes no part in it.
     pub dissemination: Option<DisseminationConfig>,
 }
 
@@ -57,25 +59,25 @@
 }
 
 impl PeersConfig {
-    /// The engine's settings in a cluster of so many.
+    /// The engine settings for this number of peers and suspects.
     pub(super) fn engine_config(&self, peers: usize, suspects: usize, gossip: GossipPlan) -> foca::Config {
-        // Rounds until all have heard grow with the logarithm of their number (SWIM, section 4.1).
+        // The number of gossip rounds that reach all peers grows with the logarithm of their number (SWIM, section 4.1).
         let rounds = (peers.max(2) as f64).log10().max(1.0);
         let many = suspects as f64 > MANY_SUSPECTS_FRACTION * peers as f64;
-        let patience = if many { MANY_SUSPECTS_TIMEOUT_FACTOR } else { 1.0 };
-        let suspect_for = self.probe_interval.mul_f64(self.suspicion_multiplier * rounds * patience);
+        let factor = if many { MANY_SUSPECTS_TIMEOUT_FACTOR } else { 1.0 };
+        let suspicion_timeout = self.probe_interval.mul_f64(self.suspicion_multiplier * rounds * factor);
         foca::Config {
             probe_period: self.probe_interval,
             probe_rtt: self.probe_timeout,
             num_indirect_probes: non_zero(INDIRECT_PROBES),
             max_transmissions: NonZeroU8::new(gossip.max_transmissions).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: suspect_for,
+            suspect_to_down_after: suspicion_timeout,
             remove_down_after: Some(Duration::from_secs(600)),
             max_packet_size: non_zero(MAX_ENGINE_PAYLOAD_BYTES),
             notify_down_members: true,
-            // What was lost on the way is repaired by comparison, not by lists.
+            // Lost updates are repaired by comparing views, not by periodic member lists.
             periodic_announce: None,
-            // What was cut off is looked for.
+            // Down members are contacted, so that a cluster recovers from a network partition.
             periodic_announce_to_down_members: periodic(Duration::from_secs(2), 3),
             periodic_gossip: periodic(self.probe_interval / 2, gossip.fan_out),
         }
--- a/src/peers/membership/suspicion/tests.rs
+++ b/src/peers/membership/suspicion/tests.rs
@@ -6,15 +6,15 @@
     Peer { address, generation: 1, salt: 1, observer: false, name: format!("n{host}"), metadata: Vec::new() }
 }
 
-fn told(suspicions: &mut SuspectNotifier, now: Micros) -> Vec<SocketAddr> {
-    suspicions.notices(now, &peer(1), 3).into_iter().map(|notice| notice.to).collect()
+fn notified(notifier: &mut SuspectNotifier, now: Micros) -> Vec<SocketAddr> {
+    notifier.notices(now, &peer(1), 3).into_iter().map(|notice| notice.to).collect()
 }
 
 #[test]
-fn a_notice_is_a_probe_with_the_suspicion() {
-    let mut suspicions = SuspectNotifier::default();
-    suspicions.add(peer(2), 7);
-    let notice = suspicions.notices(0, &peer(1), 3).remove(0);
+fn notice_is_a_probe_that_carries_the_suspicion() {
+    let mut notifier = SuspectNotifier::default();
+    notifier.add(peer(2), 7);
+    let notice = notifier.notices(0, &peer(1), 3).remove(0);
     let message = InboundMessage::decode(&notice.payload).unwrap();
     let expected = Header { src: peer(1), src_incarnation: 3, dst: peer(2), message: Message::Ping(0) };
     assert_eq!((notice.to, message.header), (peer(2).address, expected));
@@ -22,19 +22,19 @@
 }
 
 #[test]
-fn suspects_are_told_in_turn_until_they_are_none() {
-    let mut suspicions = SuspectNotifier::default();
-    (2..5).for_each(|host| suspicions.add(peer(host), 0));
-    assert_eq!(told(&mut suspicions, 0), [peer(2).address, peer(3).address]);
-    assert_eq!(told(&mut suspicions, 1), [peer(4).address]);
-    assert_eq!(told(&mut suspicions, 2), []);
-    suspicions.remove(&peer(2).address);
-    suspicions.retain(|suspect| *suspect != peer(3));
-    assert_eq!(told(&mut suspicions, NOTICE_INTERVAL + 1), [peer(4).address]);
+fn suspects_are_notified_in_turn_until_they_are_removed() {
+    let mut notifier = SuspectNotifier::default();
+    (2..5).for_each(|host| notifier.add(peer(host), 0));
+    assert_eq!(notified(&mut notifier, 0), [peer(2).address, peer(3).address]);
+    assert_eq!(notified(&mut notifier, 1), [peer(4).address]);
+    assert_eq!(notified(&mut notifier, 2), []);
+    notifier.remove(&peer(2).address);
+    notifier.retain(|suspect| *suspect != peer(3));
+    assert_eq!(notified(&mut notifier, NOTICE_INTERVAL + 1), [peer(4).address]);
 }
 
 #[test]
-fn one_that_is_said_to_be_gone_is_asked_and_has_time_to_answer() {
+fn reported_peer_is_probed_twice_and_the_report_accepted_after_the_answer_timeout() {
     let mut reports = DepartureReports::default();
     assert_eq!(reports.report(0, &peer(2), false, 0), DepartureVerdict::Verify);
     reports.mark_probed(0, &peer(2));
@@ -47,7 +47,7 @@
     assert_eq!(
         reports.report(ANSWER_TIMEOUT, &later, false, 0),
         DepartureVerdict::Verify,
-        "a later life is another one"
+        "a later identity needs its own report"
     );
     assert_eq!(
         reports.report(ANSWER_TIMEOUT + DEPARTURE_REPORT_TTL, &later, false, 0),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_that_was_not_asked_is_not_believed_gone_however_often_it_is_said() {
+fn report_about_a_peer_that_was_not_probed_is_never_accepted() {
     let mut reports = DepartureReports::default();
     for now in (0..DEPARTURE_REPORT_TTL).step_by(100_000) {
         assert_eq!(reports.report(now, &peer(2), false, 0), DepartureVerdict::Verify);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn of_a_suspect_it_is_believed_after_its_time() {
+fn report_about_a_suspect_is_accepted_after_the_answer_timeout() {
     let mut reports = DepartureReports::default();
     assert_eq!(reports.report(0, &peer(2), true, 0), DepartureVerdict::Verify);
     reports.mark_probed(0, &peer(2));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_word_that_it_is_taken_for_gone_reaches_a_peer_with_a_probe() {
+fn departure_notice_is_a_probe_that_carries_the_report() {
     let notice = departure_notice(&peer(1), 3, &peer(2)).unwrap();
     let message = InboundMessage::decode(&notice.payload).unwrap();
     assert_eq!((notice.to, message.updates), (peer(2).address, vec![Member::down(peer(2))]));
--- a/src/peers/membership/timers.rs
+++ b/src/peers/membership/timers.rs
@@ -1,4 +1,4 @@
-//! What is due at which time.
+//! The timer queue of membership.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -6,18 +6,18 @@
 use crate::peers::identity::Peer;
 use crate::peers::Micros;
 
-/// What is due.
+/// An event that becomes due at a time.
 #[derive(Debug)]
 pub(super) enum TimerEvent {
-    /// One of the engine's own.
+    /// A timer of the engine.
     Engine(foca::Timer<Peer>),
-    /// Seeds are asked.
+    /// The next attempt to join.
     Join,
-    /// Agreement is reviewed.
+    /// The periodic review.
     Review,
 }
 
-/// Events by time; those of one time in the order in which they were added.
+/// Events ordered by time; those with the same time stay in the order in which they were added.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     pending: BinaryHeap<Reverse<Pending>>,
@@ -30,12 +30,12 @@
         self.pending.push(Reverse(Pending { at, sequence: self.added, event }));
     }
 
-    /// When the next one is due.
+    /// When the next event is due.
     pub fn next_due(&self) -> Option<Micros> {
         self.pending.peek().map(|Reverse(pending)| pending.at)
     }
 
-    /// Takes one out that is due.
+    /// Removes and returns the next event that is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<TimerEvent> {
         if self.next_due()? > now {
             return None;
@@ -43,7 +43,7 @@
         self.pending.pop().map(|Reverse(pending)| pending.event)
     }
 
-    /// All are due that much later.
+    /// Delays all events by this much.
     pub fn postpone_all(&mut self, by: Micros) {
         let pending = std::mem::take(&mut self.pending).into_vec();
         let moved = pending.into_iter().map(|Reverse(p)| Reverse(Pending { at: p.at + by, ..p }));
--- a/src/peers/membership/timers/tests.rs
+++ b/src/peers/membership/timers/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn events_come_by_time_and_then_in_the_order_of_their_adding() {
+fn events_are_ordered_by_time_and_then_by_insertion() {
     let mut queue = TimerQueue::default();
     queue.add(20, TimerEvent::Join);
     queue.add(10, TimerEvent::Review);
--- a/src/peers/membership/traffic.rs
+++ b/src/peers/membership/traffic.rs
@@ -1,28 +1,28 @@
-//! What membership sends, counted by kind.
+//! Counts of the datagrams that membership sends, by kind.
 
 use serde::Serialize;
 
 use crate::peers::identity::Peer;
 
-/// What a datagram is for.
+/// The purpose of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TrafficKind {
-    /// Whether a peer is there, and the answer, by way of others too.
+    /// Direct and indirect probes, and their acknowledgements.
     Probe,
-    /// News to random peers.
+    /// Updates sent to random peers.
     Gossip,
-    /// Asks whoever is there for a list of members.
+    /// Requests a list of members from the node at an address.
     Announce,
-    /// The answer: a part of the members.
+    /// The response to an announce: a list of some members.
     Feed,
-    /// LeaveMessages, and the word to one that it is taken for gone.
+    /// Leave messages, and notices to a peer that it is considered down.
     Notice,
-    /// Compares views and brings what one lacks.
+    /// Anti-entropy: compares views and transfers missing members.
     Repair,
 }
 
-/// All kinds.
+/// All kinds of traffic.
 pub const TRAFFIC_KINDS: [TrafficKind; 6] = [
     TrafficKind::Probe,
     TrafficKind::Gossip,
@@ -33,7 +33,7 @@
 ];
 
 impl TrafficKind {
-    /// That of a message of the engine.
+    /// The kind of a message of the engine.
     pub(super) fn of(message: &foca::Message<Peer>) -> Self {
         use foca::Message;
         match message {
@@ -46,23 +46,23 @@
     }
 }
 
-/// Datagrams of one kind.
+/// The datagrams sent of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrafficCount {
-    /// How many.
+    /// Their number.
     pub datagrams: u64,
-    /// Their bytes, without headers of the network.
+    /// Their bytes, without network headers.
     pub bytes: u64,
 }
 
-/// All that was sent, by kind.
+/// Counts of all datagrams sent, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     counts: [TrafficCount; TRAFFIC_KINDS.len()],
 }
 
 impl Traffic {
-    /// What was sent of a kind.
+    /// The datagrams sent of one kind.
     pub fn sent(&self, kind: TrafficKind) -> TrafficCount {
         self.counts[kind as usize]
     }
--- a/src/peers/membership/traffic/tests.rs
+++ b/src/peers/membership/traffic/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_kind_has_its_own_count() {
+fn each_traffic_kind_has_its_own_count() {
     let mut traffic = Traffic::default();
     for (place, kind) in TRAFFIC_KINDS.into_iter().enumerate() {
         traffic.add(kind, 100 * (place + 1));
--- a/src/peers/membership/view.rs
+++ b/src/peers/membership/view.rs
@@ -1,4 +1,4 @@
-//! Peers as a node sees them: their standing, and the digest by which views are compared.
+//! The view that a node has of its cluster, as it is reported to callers.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -8,69 +8,69 @@
 use crate::peers::identity::Peer;
 use crate::peers::Micros;
 
-/// What became of a peer.
+/// The status of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerStatus {
     /// It answers.
     Present,
-    /// It did not answer lately.
+    /// It failed to answer a probe, but may still be alive.
     Suspected,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
-    /// It is gone without a word.
+    /// It departed without a leave message.
     Lost,
 }
 
 impl PeerStatus {
-    /// Whether it is gone.
+    /// Whether the peer is no longer in the cluster.
     pub(super) fn is_departed(self) -> bool {
         matches!(self, Self::Left | Self::Lost)
     }
 }
 
-/// One peer as it is seen.
+/// A peer and its status.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PeerRecord {
-    /// Who.
+    /// The peer.
     pub peer: Peer,
-    /// What became of it.
+    /// Its status.
     #[serde(rename = "standing")]
     pub status: PeerStatus,
-    /// For how long, in microseconds.
+    /// For how long it has had this status, in microseconds.
     #[serde(rename = "since")]
     pub status_age_us: Micros,
 }
 
-/// What a node sees of its cluster.
+/// The view that a node has of its cluster.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct View {
-    /// All peers that it knows of, itself apart, by name.
+    /// All peers that it knows, without itself, sorted by name.
     pub peers: Vec<PeerRecord>,
-    /// Nodes that are present, itself among them.
+    /// The number of nodes that are present, including itself.
     pub nodes: u32,
-    /// The count that it relies on.
+    /// The effective node count.
     #[serde(rename = "in_force")]
     pub effective_nodes: u32,
-    /// How far views lie apart.
+    /// How far the views of the nodes agree.
     pub agreement: Agreement,
-    /// For how long, in microseconds.
+    /// For how long the agreement has had this value, in microseconds.
     #[serde(rename = "since")]
     pub agreement_age_us: Micros,
-    /// Its own view's digest.
+    /// The digest of its own view.
     pub digest: u64,
-    /// Digests of others that differ, with those that have them.
+    /// The differing digests that peers report, with the addresses of those peers.
     pub differing: BTreeMap<u64, Vec<SocketAddr>>,
 }
 
-/// The figures of a [`View`] that cost nothing to tell.
+/// The parts of a [`View`] that are cheap to obtain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViewSummary {
-    /// Nodes that are present, the node itself among them.
+    /// The number of nodes that are present, including the node itself.
     pub nodes: u32,
-    /// The count that it relies on.
+    /// The effective node count.
     pub effective_nodes: u32,
-    /// How far views lie apart.
+    /// How far the views of the nodes agree.
     pub agreement: Agreement,
     /// The digest of its view.
     pub digest: u64,
