--- a/src/peers/budgeted.rs
+++ b/src/peers/budgeted.rs
@@ -49,9 +49,9 @@
                     PeerStatus::Present => self.member_present(peer),
                     PeerStatus::Suspected if !peer.observer => self.core.member_suspected(member(peer)),
                     PeerStatus::Suspected => {}
-                    PeerStatus::Left | PeerStatus::Lost => self.core.member_gone(&member(peer)),
+                    PeerStatus::Left | PeerStatus::Lost => self.core.member_removed(&member(peer)),
                 },
-                Output::Rejoined => self.core.renewed(member(local_peer)),
+                Output::Rejoined => self.core.rejoined(member(local_peer)),
                 _ => {}
             }
         }
--- a/src/peers/membership/engine.rs
+++ b/src/peers/membership/engine.rs
@@ -44,7 +44,7 @@
     pub messages: Vec<EngineMessage>,
     pub timers: Vec<(Duration, Timer<Peer>)>,
     pub changes: Vec<MemberChange>,
-    /// Others had declared this process gone; it has a new identity now.
+    /// Others had declared this process down; it has a new identity now.
     pub rejoined: bool,
     /// The incarnation of this process, if a message carried it.
     pub incarnation: Option<foca::Incarnation>,
--- a/src/peers/membership/receiving.rs
+++ b/src/peers/membership/receiving.rs
@@ -55,13 +55,13 @@
             self.suspicions_changed |= self.members.record_report(source, report);
         }
         // A member list is new only to its receiver, so its updates are not gossiped.
-        let pass_on = message.header.message != foca::Message::Feed;
+        let gossip = message.header.message != foca::Message::Feed;
         let own = self.local_peer().address;
         let updates = if accepted { std::mem::take(&mut message.updates) } else { Vec::new() };
         let (of_me, of_others): (Vec<_>, Vec<_>) =
             updates.into_iter().partition(|update| update.id().address == own);
         // Updates about this node are applied first, so that the answer to the message refutes a suspicion.
-        self.apply_updates(now, of_me, pass_on, out);
+        self.apply_updates(now, of_me, gossip, out);
         // A process that was declared down has a new identity. A prober of its earlier identity must get an answer, which
         // carries the new one; otherwise it would suspect a living process.
         if message.is_probe() && message.header.dst.is_earlier_identity_of(self.local_peer()) {
@@ -80,7 +80,7 @@
         self.members.set_schema(&message.header.src.address, schema);
         self.send(now, responses, out);
         // Other updates come last: leave messages in this message are known by now, so their peers count as left.
-        self.apply_updates(now, of_others, pass_on, out);
+        self.apply_updates(now, of_others, gossip, out);
         handled.map_err(|_| DropReason::Malformed)
     }
 
@@ -90,7 +90,7 @@
         &mut self,
         now: Micros,
         updates: Vec<MemberUpdate>,
-        pass_on: bool,
+        gossip: bool,
         out: &mut Vec<Output>,
     ) {
         let mut effects = EngineEffects::default();
@@ -99,9 +99,9 @@
             let room = known || self.members.len() < MAX_PEERS;
             if room && inbound::is_new_update(&mut self.members, &update) {
                 self.suspicions_changed |= update.state() != State::Down;
-                let pass_on = pass_on && self.engine.updates_backlog() < self.gossip_plan.max_backlog;
+                let gossip = gossip && self.engine.updates_backlog() < self.gossip_plan.max_backlog;
                 // It only fails for an update that is too long, which cannot occur.
-                let _ = self.engine.apply_many([update].into_iter(), pass_on, &mut effects);
+                let _ = self.engine.apply_many([update].into_iter(), gossip, &mut effects);
             }
         }
         self.apply(now, effects, out);
--- a/src/peers/membership/tests.rs
+++ b/src/peers/membership/tests.rs
@@ -94,7 +94,7 @@
     InboundMessage::decode(Envelope::decode(data).unwrap().payload).unwrap().header
 }
 
-// Guards against declaring a living process gone after it renewed its identity: probes of the earlier identity, which were
+// Guards against declaring a living process down after it renewed its identity: probes of the earlier identity, which were
 // in flight or come from peers that do not know the new one, must be answered.
 #[test]
 fn probe_of_an_earlier_identity_is_answered_under_the_present_one() {
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -58,7 +58,7 @@
         /// Whether this process yields the name; if so, it leaves the cluster for good.
         yields: bool,
     },
-    /// Others had declared this process gone; it has rejoined under a new identity.
+    /// Others had declared this process down; it has rejoined under a new identity.
     Rejoined,
     /// An output of dissemination; never [`DisseminationOutput::Send`].
     Dissemination(DisseminationOutput),
@@ -90,7 +90,8 @@
 
     /// When [`Self::handle_timers`] must be called next.
     pub fn next_wakeup(&self) -> Option<Micros> {
-        let dissemination = self.dissemination.as_ref().map(|dissemination| dissemination.core.next());
+        let dissemination =
+            self.dissemination.as_ref().map(|dissemination| dissemination.core.next_timeout());
         self.membership.next_timer().into_iter().chain(dissemination).min()
     }
 
@@ -264,9 +265,9 @@
             self.dissemination = None;
         }
         let Some(dissemination) = &mut self.dissemination else { return };
-        if now >= dissemination.core.next() {
+        if now >= dissemination.core.next_timeout() {
             let mut outputs = Vec::new();
-            dissemination.core.timers(now, &mut dissemination.budget, &mut outputs);
+            dissemination.core.run_timers(now, &mut dissemination.budget, &mut outputs);
             self.emit(outputs, out);
         }
     }
