--- a/interposer/src/calls.rs
+++ b/interposer/src/calls.rs
@@ -1,7 +1,7 @@
 //! The functions that interpose those of the C library. Each has the signature and the contract of its manual page.
 //!
-//! Safety, for all of them: the caller keeps the C function's contract, and the arguments are passed on unchanged, except
-//! for a length, which is only ever reduced.
+//! Safety, for all of them: the caller keeps the C function's contract, and the arguments are passed on unchanged,
+//! except for a length, which is only ever reduced.
 
 use crate::real;
 use crate::rules::Call;
--- a/interposer/src/real.rs
+++ b/interposer/src/real.rs
@@ -33,7 +33,7 @@
 next!(recv, c"recv", (fd: c_int, buffer: *mut c_void, length: usize, flags: c_int) -> ssize_t);
 next!(send, c"send", (fd: c_int, buffer: *const c_void, length: usize, flags: c_int) -> ssize_t);
 next!(writev, c"writev", (fd: c_int, parts: *const iovec, count: c_int) -> ssize_t);
-next!(epoll_wait, c"epoll_wait", (fd: c_int, events: *mut libc::epoll_event, max_events: c_int, timeout: c_int) -> c_int);
+next!(epoll_wait, c"epoll_wait", (fd: c_int, events: *mut libc::epoll_event, max: c_int, timeout: c_int) -> c_int);
 next!(clock_gettime, c"clock_gettime", (clock: clockid_t, time: *mut timespec) -> c_int);
 
 /// Milliseconds on the monotonic clock.
--- a/interposer/src/rules.rs
+++ b/interposer/src/rules.rs
@@ -1,9 +1,9 @@
 //! The fault rules and their grammar, such as `recv=short:0.5; connect=ENOBUFS:0.3@0..2000; clock=3600000@500..`.
 //!
-//! A rule is `CALL=EFFECT:SHARE@FROM..TO`. SHARE is the fraction of the calls that are affected, 1 by default. FROM and TO
-//! are milliseconds since the start of the process; without them a rule always applies. EFFECT is `short` or the name of
-//! an error as in the manual page of the call. For `clock` it is the offset of the wall clock in milliseconds, without a
-//! share.
+//! A rule is `CALL=EFFECT:SHARE@FROM..TO`. SHARE is the fraction of the calls that are affected, 1 by default. FROM and
+//! TO are milliseconds since the start of the process; without them a rule always applies. EFFECT is `short` or the
+//! name of an error as in the manual page of the call. For `clock` it is the offset of the wall clock in milliseconds,
+//! without a share.
 
 use std::ops::Range;
 use thiserror::Error;
--- a/interposer/tests/node_under_faults.rs
+++ b/interposer/tests/node_under_faults.rs
@@ -50,7 +50,8 @@
 /// The number of responses by status; `None` counts lost requests.
 type Responses = BTreeMap<Option<u16>, usize>;
 
-/// A client that sends GETs and PUTs, on one connection until it closes, and checks that each body belongs to its request.
+/// A client that sends GETs and PUTs, on one connection until it closes, and checks that each body belongs to its
+/// request.
 fn run_client(address: std::net::SocketAddr, first_key: u64, requests: u64, responses: &Mutex<Responses>) {
     let mut reusable: Option<Client> = None;
     for key in first_key..first_key + requests {
@@ -144,8 +145,8 @@
     Outcome { responses, last_sent, log }
 }
 
-/// Runs each case with two seeds and checks that no request is lost, that at least `served_in_ten` of ten are served and
-/// that the drain is applied in time.
+/// Runs each case with two seeds and checks that no request is lost, that at least `served_in_ten` of ten are served
+/// and that the drain is applied in time.
 fn assert_survives(cases: &[&str], served_in_ten: usize) {
     const SEEDS: [u64; 2] = [1, 2];
     let cases = cases.iter().flat_map(|rules| SEEDS.map(|seed| ((*rules).to_owned(), seed)));
--- a/interposer/tests/soak.rs
+++ b/interposer/tests/soak.rs
@@ -2,8 +2,8 @@
 //! observed.
 //!
 //! A few seeds run with the other tests. A long soak is started by hand, with a range of seeds:
-//! `WALKPICK_SOAK=1000..1050 cargo test --release -p walkpick-interposer --test soak -- --nocapture` (build the workspace
-//! in the same profile first).
+//! `WALKPICK_SOAK=1000..1050 cargo test --release -p walkpick-interposer --test soak -- --nocapture` (build the
+//! workspace in the same profile first).
 
 #[path = "../../tests/node_common/mod.rs"]
 mod node_common;
--- a/interposer/tests/soak/judges.rs
+++ b/interposer/tests/soak/judges.rs
@@ -5,8 +5,8 @@
 use crate::schedule::Schedule;
 use std::time::{Duration, Instant};
 
-/// New requests may go to a draining server for this time after its drain counts as delivered: the grace period plus the
-/// allowance for sockets.
+/// New requests may go to a draining server for this time after its drain counts as delivered: the grace period plus
+/// the allowance for sockets.
 const DRAIN_GRACE: Duration = Duration::from_millis(250 + 50);
 /// An attempt may start within this time after its client has disconnected, plus the same allowance.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100 + 50);
--- a/tests/node_crossings.rs
+++ b/tests/node_crossings.rs
@@ -304,7 +304,8 @@
     }
 }
 
-// Guards against an unsafe request that runs twice because its server responded, or reset, before it had read all of it.
+// Guards against an unsafe request that runs twice because its server responded, or reset, before it had read all of
+// it.
 #[test]
 fn an_unsafe_request_is_sent_once_when_its_server_responds_early_and_resets() {
     let early = http_response("200 OK", "", "value");
--- a/tests/node_discovery.rs
+++ b/tests/node_discovery.rs
@@ -151,8 +151,8 @@
 
 const NO_DELAY: Duration = Duration::ZERO;
 
-/// Puts discovery into this mode under an open watch and keeps it there for `lasts`; returns how long after the end of the
-/// mode the node applies a change.
+/// Puts discovery into this mode under an open watch and keeps it there for `lasts`; returns how long after the end of
+/// the mode the node applies a change.
 fn time_to_apply_after(mode: Mode, lasts: Duration) -> Duration {
     let discovery = FaultyDiscovery::start(Mode::Silent);
     let change = ChangeTest::start(discovery.address);
@@ -232,8 +232,8 @@
     assert!(elapsed >= Duration::from_secs(3), "three pauses of less than a second each: {elapsed:?}");
 }
 
-/// How long a node without an initial list takes to become ready, with discovery in this mode for `lasts` and sending its
-/// list after the delay `slow` from then on. The node must not report readiness before it has a server.
+/// How long a node without an initial list takes to become ready, with discovery in this mode for `lasts` and sending
+/// its list after the delay `slow` from then on. The node must not report readiness before it has a server.
 fn time_to_ready(mode: Mode, lasts: Duration, slow: Duration) -> Duration {
     let server = CacheServer::serving("value");
     let hosts: Vec<_> = (0..1_024).map(|i| server.entry(&format!("s-{i:04}"), "ready")).collect();
--- a/tests/node_drains.rs
+++ b/tests/node_drains.rs
@@ -10,8 +10,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// New requests may go to a server this long after its drain counts as delivered to the node: the grace period, plus the
-/// allowance for sockets (protocol page, "The rules on sockets").
+/// New requests may go to a server this long after its drain counts as delivered to the node: the grace period, plus
+/// the allowance for sockets (protocol page, "The rules on sockets").
 const GRACE: Duration = Duration::from_millis(250 + 50);
 /// The pause between two requests of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
@@ -90,8 +90,8 @@
     log: String,
 }
 
-/// Runs a node through an outage of this kind. The outage lasts for `lasts`, and where calls fail immediately until no call
-/// is in flight. Then a drain is pushed to the agent at the first moment without a call in flight, or after
+/// Runs a node through an outage of this kind. The outage lasts for `lasts`, and where calls fail immediately until no
+/// call is in flight. Then a drain is pushed to the agent at the first moment without a call in flight, or after
 /// [`MAX_WATCH_WAIT`]. With `stall` the node is stopped (SIGSTOP) at that moment, for [`STALL`].
 fn drain_after(outage: Outage, lasts: Duration, stall: bool) -> Outcome {
     let times: Arc<Mutex<Vec<Instant>>> = Arc::default();
@@ -167,8 +167,8 @@
         .map(Duration::from_millis)
 }
 
-// Guards against a node that pauses between two calls when a drain is delivered, right after an outage in which calls got
-// no response or part of one.
+// Guards against a node that pauses between two calls when a drain is delivered, right after an outage in which calls
+// got no response or part of one.
 #[test]
 fn a_drain_right_after_a_silent_outage_is_applied_within_the_grace_period() {
     let outages = [Outage::Silent, Outage::PartialResponse];
--- a/tests/node_limits.rs
+++ b/tests/node_limits.rs
@@ -29,8 +29,8 @@
     std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count()
 }
 
-// Guards against a list, a table or a buffer that is too small for a large fleet, and against one that exceeds the limits
-// of a node.
+// Guards against a list, a table or a buffer that is too small for a large fleet, and against one that exceeds the
+// limits of a node.
 #[test]
 fn a_node_with_minimum_limits_serves_with_1024_servers_and_nodes() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
--- a/tests/node_servers.rs
+++ b/tests/node_servers.rs
@@ -133,8 +133,8 @@
     (status, one.request_count() + two.request_count())
 }
 
-// Guards against a wrong reading of an attempt's outcome: a request that may have run must not be retried, one that never
-// ran may be.
+// Guards against a wrong reading of an attempt's outcome: a request that may have run must not be retried, one that
+// never ran may be.
 #[test]
 fn an_unsafe_request_is_retried_only_if_it_certainly_never_ran() {
     let declined = || Reaction::Respond(http_response("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
--- a/tests/node_stops.rs
+++ b/tests/node_stops.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// Shuts a node down beside a server of this behaviour; `false` if the machine was too slow to send all requests while the
-/// node could still accept them.
+/// Shuts a node down beside a server of this behaviour; `false` if the machine was too slow to send all requests while
+/// the node could still accept them.
 fn shut_down_beside(react: Behaviour) -> bool {
     let server = CacheServer::start(move |_| react());
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
@@ -122,9 +122,9 @@
 /// The earliest SIGKILL after SIGTERM in a fast shutdown.
 const KILL: Duration = Duration::from_millis(1_700);
 
-/// Stalls a node with SIGSTOP during its shutdown, at `from` after SIGTERM and for `length`, with a request in flight that its
-/// server never answers. Returns the status that the client gets, and when; `None` if the machine was too slow to keep
-/// these times.
+/// Stalls a node with SIGSTOP during its shutdown, at `from` after SIGTERM and for `length`, with a request in flight
+/// that its server never answers. Returns the status that the client gets, and when; `None` if the machine was too slow
+/// to keep these times.
 fn response_of_a_stalled_shutdown(from: Duration, length: Duration) -> Option<(Option<u16>, Duration)> {
     const TOLERANCE: Duration = Duration::from_millis(10);
     let server = CacheServer::start(|_| Reaction::NoResponse);
@@ -166,8 +166,8 @@
     }
 }
 
-// Guards against a node that exits without answering accepted requests because a stall lasted past the end of its shutdown
-// and no kill followed.
+// Guards against a node that exits without answering accepted requests because a stall lasted past the end of its
+// shutdown and no kill followed.
 #[test]
 fn a_node_that_stalls_past_the_end_of_its_shutdown_still_responds() {
     let response = (0..20).find_map(|_| response_of_a_stalled_shutdown(Duration::from_millis(1_300), KILL));
