--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -49,10 +49,9 @@
     initial_limit: f64,
     /// Moving average of the latency of answers, in seconds, by class.
     typical_latency_s: Vec<f64>,
-    /// Moving average of the expected work over all requests, in seconds; requests without an estimate count
-    /// 0.
+    /// Moving average of the expected work over all attempts, in seconds. No estimate counts as 0.
     average_work_s: f64,
-    /// Mean of the expected work over the requests that have an estimate, in seconds, and its sample count.
+    /// Mean of the expected work over attempts with an estimate, in seconds, and its sample count.
     mean_estimate_s: f64,
     estimates: f64,
     kinds: Vec<ServerKind>,
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -28,6 +28,7 @@
 }
 
 impl Balancer {
+    /// The server for the next attempt; `None` if no server can take it or no attempt is left.
     pub(super) fn pick_server(&self, now: Timestamp, pending: &PendingRequest) -> Option<usize> {
         if pending.attempts.len() >= self.settings.max_attempts as usize {
             return None;
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -107,7 +107,8 @@
             self.estimates = (self.estimates + 1.0).min(100.0);
             self.mean_estimate_s += (work - self.mean_estimate_s) / self.estimates;
         }
-        let underutilized = outcome.load.utilization.is_some_and(|busy| busy < HIGH_UTILIZATION);
+        let underutilized =
+            outcome.load.utilization.is_some_and(|utilization| utilization < HIGH_UTILIZATION);
         // A slow answer from a server without a queue is usually due to the request's own work. Out of many
         // nodes, each one calls a server so rarely that its report is older than the other nodes' bursts.
         let few_nodes = self.settings.nodes <= MAX_NODES_FOR_QUEUE_REPORTS;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -124,8 +124,8 @@
 /// Where listed weights do not tell speeds, machines of a slow kind would get as many keys as fast ones and jam.
 #[test]
 fn a_slow_kind_gets_fewer_keys_where_weights_do_not_tell_speeds() {
-    let share = |sized| {
-        let mut node = Node::new(Settings { nominal_weights: sized, ..settings() }, 1);
+    let share = |nominal_weights| {
+        let mut node = Node::new(Settings { nominal_weights, ..settings() }, 1);
         let entry = |i: u8| ServerEntry {
             kind: Some(Name::from(if i < 5 { "x" } else { "y" })),
             ..ServerEntry::new(&char::from(b'a' + i).to_string())
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -55,7 +55,7 @@
     let mut node = Node::with_servers(settings(), 3);
     let within = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
-            Action::Send { start_within: begin_within, .. } => Some(*begin_within),
+            Action::Send { start_within, .. } => Some(*start_within),
             _ => None,
         })
     };
