--- a/lab/src/cluster/simulated.rs
+++ b/lab/src/cluster/simulated.rs
@@ -178,9 +178,12 @@
             name: name.to_owned(),
             metadata: more,
         };
-        let seed =
-            draw::unit(self.seed, draw::Stream::Lists, (node as u64) << 32 | u64::from(state.incarnation))
-                .to_bits();
+        let seed = draw::unit(
+            self.seed,
+            draw::Stream::DiscoveryUpdates,
+            (node as u64) << 32 | u64::from(state.incarnation),
+        )
+        .to_bits();
         state.peers = Some(Peers::new(self.config.clone(), me, seed, self.now));
         (state.started_as, state.paused, state.timers_at) = (order, None, None);
         self.counts[node] = self.config.configured_nodes;
