--- a/src/check.rs
+++ b/src/check.rs
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Args)]
 pub struct CheckConfig {
-    /// Path of the configuration file, as given by LB_CONFIG
+    /// Path of the configuration file that a node finds through LB_CONFIG
     #[arg(required_unless_present = "options")]
     file: Option<PathBuf>,
     /// List all options of the section `walkpick` with their possible values and defaults
@@ -159,7 +159,7 @@
              name       {}, one of {} in {zone}\n\
              listens    {}, at most {} connections to clients and as many to cache servers\n\
              discovery  {}, {} cache servers known at start-up\n\
-             stop       after SIGTERM: closes at {closes}, last answers by {all_answered}, exits by {gone}\n\
+             stop       closes {closes} after SIGTERM, last answers after {all_answered}, exits after {gone}\n\
              log        {log}\n",
             self.name, self.nodes, self.listen, self.connections, self.discovery, self.known_servers,
         );
--- a/src/members.rs
+++ b/src/members.rs
@@ -74,7 +74,7 @@
 fn text(view: &View) -> String {
     let seconds =
         |micros: u64| humantime::format_duration(Duration::from_secs(micros / 1_000_000)).to_string();
-    let mut lines = vec![format!("{:16} {:22} {:10} {}", "node", "address", "", "for")];
+    let mut lines = vec![format!("{:16} {:22} {:10} {}", "node", "address", "status", "for")];
     for seen in view.peers.iter().filter(|seen| !seen.peer.observer) {
         let status = match seen.status {
             PeerStatus::Present => "present",
--- a/src/net/lifecycle/tests.rs
+++ b/src/net/lifecycle/tests.rs
@@ -11,12 +11,12 @@
         for noticed_at in [0, 40, 700, 2_000, 10_000] {
             for late in [0, 10, 300, 5_000] {
                 let noticed_at = signalled_at + ms(noticed_at);
-                let stop = ShutdownPlan::new(signalled_at, noticed_at, ms(late), ms(deadline));
+                let plan = ShutdownPlan::new(signalled_at, noticed_at, ms(late), ms(deadline));
                 let kill = signalled_at + KILL_DELAY + ms(deadline.min(3_000));
-                assert_eq!(stop.kill_at, kill);
-                assert!(noticed_at <= stop.close_at && stop.close_at <= stop.answer_by, "{stop:?}");
-                assert!(stop.answer_by <= stop.exit_by, "{stop:?}");
-                assert!(stop.exit_by + ms(late) < kill || stop.exit_by == noticed_at, "{stop:?}");
+                assert_eq!(plan.kill_at, kill);
+                assert!(noticed_at <= plan.close_at && plan.close_at <= plan.answer_by, "{plan:?}");
+                assert!(plan.answer_by <= plan.exit_by, "{plan:?}");
+                assert!(plan.exit_by + ms(late) < kill || plan.exit_by == noticed_at, "{plan:?}");
             }
         }
     }
@@ -25,9 +25,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_shutdown_without_lag_serves_while_usual_requests_can_still_be_answered() {
     let signalled_at = Instant::now();
-    let stop = ShutdownPlan::new(signalled_at, signalled_at, Duration::ZERO, ms(1_900));
-    assert_eq!(stop.close_at - signalled_at, ms(1_260));
-    assert_eq!((stop.answer_by - signalled_at, stop.exit_by - signalled_at), (ms(2_400), ms(2_550)));
+    let plan = ShutdownPlan::new(signalled_at, signalled_at, Duration::ZERO, ms(1_900));
+    assert_eq!(plan.close_at - signalled_at, ms(1_260));
+    assert_eq!((plan.answer_by - signalled_at, plan.exit_by - signalled_at), (ms(2_400), ms(2_550)));
 }
 
 #[tokio::test(start_paused = true)]
