--- a/src/peers/membership/joining.rs
+++ b/src/peers/membership/joining.rs
@@ -4,7 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The wait between attempts of a node that knows no present peer: it starts at the first value and doubles up to the second.
+/// The wait between attempts of a node that knows no present peer: it doubles with each attempt, from the first value up to
+/// the second.
 const INITIAL_WAIT: Duration = Duration::from_millis(250);
 const MAX_WAIT: Duration = Duration::from_secs(5);
 /// Maximum number of seeds or remembered nodes contacted per attempt.
--- a/src/peers/membership/pacing.rs
+++ b/src/peers/membership/pacing.rs
@@ -23,7 +23,7 @@
 /// The priority of a repair message, which follows from its purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RepairPriority {
-    /// It starts a comparison.
+    /// It starts a comparison. It is held back before the kinds below, except for optional messages.
     Comparison,
     /// It lists identities, whose records are then requested by shorter messages.
     Listing,
--- a/src/peers/membership/receiving.rs
+++ b/src/peers/membership/receiving.rs
@@ -47,9 +47,9 @@
     ) -> Result<(), DropReason> {
         let source = &message.header.src;
         let is_departed = |held: &Member| held.status.is_departed() && !source.supersedes(&held.peer);
-        let sender_is_gone = self.members.get(&source.address).is_some_and(is_departed);
+        let sender_has_departed = self.members.get(&source.address).is_some_and(is_departed);
         // The engine ignores updates from a departed sender, and in a message to another identity of this process.
-        let accepted = message.header.dst == *self.local_peer() && !sender_is_gone;
+        let accepted = message.header.dst == *self.local_peer() && !sender_has_departed;
         if accepted {
             let report = ReportedState { incarnation: message.header.src_incarnation, suspected: false };
             self.suspicions_changed |= self.members.record_report(source, report);
@@ -58,10 +58,10 @@
         let gossip = message.header.message != foca::Message::Feed;
         let own = self.local_peer().address;
         let updates = if accepted { std::mem::take(&mut message.updates) } else { Vec::new() };
-        let (of_me, of_others): (Vec<_>, Vec<_>) =
+        let (about_self, about_others): (Vec<_>, Vec<_>) =
             updates.into_iter().partition(|update| update.id().address == own);
         // Updates about this node are applied first, so that the answer to the message refutes a suspicion.
-        self.apply_updates(now, of_me, gossip, out);
+        self.apply_updates(now, about_self, gossip, out);
         // A process that was declared down has a new identity. A prober of its earlier identity must get an answer, which
         // carries the new one; otherwise it would suspect a living process.
         if message.is_probe() && message.header.dst.is_earlier_identity_of(self.local_peer()) {
@@ -80,7 +80,7 @@
         self.members.set_schema(&message.header.src.address, schema);
         self.send(now, responses, out);
         // Other updates come last: leave messages in this message are known by now, so their peers count as left.
-        self.apply_updates(now, of_others, gossip, out);
+        self.apply_updates(now, about_others, gossip, out);
         handled.map_err(|_| DropReason::Malformed)
     }
 
