--- a/lab/src/commands/dissemination.rs
+++ b/lab/src/commands/dissemination.rs
@@ -1,4 +1,4 @@
-//! `walkpick-lab dissemination`: a steady load of entries and states on any number of peers in simulated time.
+//! `walkpick-lab dissemination`: runs a steady load of entries and states on any number of peers in simulated time.
 
 use crate::dissemination::baseline;
 use crate::dissemination::figures::{run_all, series, Membership};
@@ -10,43 +10,43 @@
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// What to run.
+/// Arguments of `walkpick-lab dissemination`.
 #[derive(Debug, Args)]
 pub struct DisseminationArgs {
     /// Numbers of nodes
     #[arg(long, value_delimiter = ',', default_values_t = [66, 132, 265, 530, 1_060, 2_120])]
     nodes: Vec<usize>,
-    /// Parts of the datagrams that are lost
+    /// Fractions of the datagrams that are lost
     #[arg(long, value_delimiter = ',', default_values_t = [0.0, 0.05])]
     loss: Vec<f64>,
-    /// How many seeds
+    /// Number of random seeds
     #[arg(long, default_value_t = 3)]
     seeds: u64,
-    /// Entries of the log a second
+    /// Log entries published per second
     #[arg(long, default_value_t = 6)]
     rate: u64,
-    /// Bytes of each entry's payload
+    /// Payload size of each entry, in bytes
     #[arg(long, default_value_t = 100)]
     entry_bytes: usize,
-    /// For so many seconds
+    /// Duration of the load, in seconds
     #[arg(long, default_value_t = 60)]
     seconds: u64,
-    /// A zone is lost after so many seconds
+    /// Time after which a zone is lost, in seconds
     #[arg(long)]
     zone_lost_after: Option<u64>,
-    /// What tells nodes who is present
+    /// Source of the membership events that nodes receive
     #[arg(long, default_value = "real")]
     membership: Membership,
-    /// The engine's own broadcasts in place of ours
+    /// Run the broadcasts of the membership library instead of walkpick's dissemination
     #[arg(long)]
     baseline: bool,
     /// Write series for the capacity page into this file
     #[arg(long)]
     series: Option<PathBuf>,
-    /// Plays at once; as many as there are cores where it is not given
+    /// Number of runs in parallel [default: number of cores]
     #[arg(long)]
     jobs: Option<usize>,
-    /// Write JSON
+    /// Print JSON
     #[arg(long)]
     json: bool,
 }
@@ -69,7 +69,8 @@
     }
 }
 
-/// Runs the loads and prints their figures; whether nothing was lost, twice, out of order or wrongly acknowledged.
+/// Runs the loads and prints their figures. Returns whether no entry was lost, duplicated, out of order or falsely
+/// acknowledged.
 pub fn run(args: &DisseminationArgs) -> Result<bool, Box<dyn Error>> {
     let loads = args.loads();
     if args.baseline {
@@ -89,7 +90,7 @@
     } else {
         print_table(&outcomes)?;
     }
-    Ok(outcomes.iter().all(|o| (o.lost, o.faults, o.false_words) == (0, 0, 0)))
+    Ok(outcomes.iter().all(|o| (o.lost, o.faults, o.false_acknowledgements) == (0, 0, 0)))
 }
 
 fn print_table(outcomes: &[Outcome]) -> io::Result<()> {
@@ -115,7 +116,7 @@
             o.acknowledged_largest_s,
             o.lost,
             o.faults,
-            o.false_words,
+            o.false_acknowledgements,
             o.peak_1s,
             o.peak_5s,
             o.mean,
@@ -143,7 +144,7 @@
             load.seed,
             o.largest_s,
             o.median_s,
-            o.never,
+            o.incomplete,
             o.out_of_order,
             o.peak_1s,
             o.peak_5s,
--- a/lab/src/dissemination/baseline.rs
+++ b/lab/src/dissemination/baseline.rs
@@ -1,8 +1,8 @@
-//! The baseline: the membership engine's own custom broadcasts, which ride on its gossip, at the same load on the same
-//! network. Each item goes out a bounded number of times to random members; there is no order and no repair.
+//! The baseline: custom broadcasts of the membership library (foca), piggybacked on its gossip, at the same load on the same
+//! network. Each item is sent a bounded number of times to random members, without ordering or repair.
 
 use super::scenario::{seconds, Load};
-use super::topology::{address, place, Topology};
+use super::topology::{address, node_index, Topology};
 use super::traffic::Traffic;
 use crate::model::{Micros, SECOND};
 use foca::{BroadcastHandler, Foca, Invalidates, Notification, PostcardCodec, Runtime, Timer};
@@ -17,27 +17,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// As in the program, but for answers that may take 400 ms.
+/// As in walkpick, except that the timeout allows for responses that take 400 ms.
 const PROBE_EVERY: Duration = Duration::from_secs(1);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(450);
-const LARGEST: usize = 1_136;
+const MAX_DATAGRAM_BYTES: usize = 1_136;
 
-/// What came of it.
+/// Outcome of a load.
 #[derive(Clone, Debug)]
 pub struct BaselineOutcome {
-    /// From publishing until the last node that got it had it: the largest.
+    /// Largest time from publishing an item to its last delivery.
     pub largest_s: f64,
-    /// The same, of half of the items.
+    /// Median over items of the same time.
     pub median_s: f64,
-    /// Items that never came to some node.
-    pub never: usize,
-    /// Items that came before an earlier one, or after a later one.
+    /// Items that did not reach every node.
+    pub incomplete: usize,
+    /// Deliveries of an item directly after a later one, summed over nodes.
     pub out_of_order: usize,
-    /// The most that a node sent in a second.
+    /// Peak bytes sent by any node in 1 s.
     pub peak_1s: f64,
-    /// The largest 5 s mean.
+    /// Peak bytes per second sent by any node over 5 s.
     pub peak_5s: f64,
-    /// The mean.
+    /// Mean bytes per second sent by a node.
     pub mean: f64,
 }
 
@@ -70,20 +70,20 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-#[error("not an item")]
-struct NoItem;
+#[error("broadcast item is shorter than 8 bytes")]
+struct InvalidItem;
 
-/// What a node has got, with the order in which it came.
+/// Items that a node has received: in order of arrival, and as a set.
 #[derive(Clone, Default)]
-struct Got(Rc<RefCell<Vec<u64>>>, Rc<RefCell<BTreeSet<u64>>>);
+struct ReceivedItems(Rc<RefCell<Vec<u64>>>, Rc<RefCell<BTreeSet<u64>>>);
 
-impl BroadcastHandler<Node> for Got {
+impl BroadcastHandler<Node> for ReceivedItems {
     type Key = ItemKey;
-    type Error = NoItem;
+    type Error = InvalidItem;
 
-    fn receive_item(&mut self, data: &[u8], _: Option<&Node>) -> Result<Option<ItemKey>, NoItem> {
+    fn receive_item(&mut self, data: &[u8], _: Option<&Node>) -> Result<Option<ItemKey>, InvalidItem> {
         let number = data.get(..8).and_then(|bytes| bytes.try_into().ok()).map(u64::from_le_bytes);
-        let number = number.ok_or(NoItem)?;
+        let number = number.ok_or(InvalidItem)?;
         if !self.1.borrow_mut().insert(number) {
             return Ok(None);
         }
@@ -115,20 +115,20 @@
     Engine(usize, Timer<Node>),
 }
 
-type Engine = Foca<Node, PostcardCodec, rand_engine::rngs::SmallRng, Got>;
+type Engine = Foca<Node, PostcardCodec, rand_engine::rngs::SmallRng, ReceivedItems>;
 
-struct Arm {
+struct BaselineRun {
     topology: Topology,
     seed: u64,
     loss: f64,
     random: Xoshiro256PlusPlus,
     now: Micros,
-    count: u64,
+    scheduled: u64,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, Event>,
     engines: Vec<Engine>,
-    got: Vec<Got>,
-    seen: Vec<usize>,
+    received: Vec<ReceivedItems>,
+    recorded: Vec<usize>,
     published: BTreeMap<u64, Micros>,
     last: BTreeMap<u64, (Micros, usize)>,
     traffic: Traffic,
@@ -136,22 +136,22 @@
 
 /// Runs a load.
 pub fn run(load: &Load) -> BaselineOutcome {
-    let mut arm = Arm::new(load);
-    arm.run(5 * SECOND);
+    let mut run = BaselineRun::new(load);
+    run.run(5 * SECOND);
     let publisher = load.nodes / 2;
-    let begun = arm.now;
+    let started_at = run.now;
     for number in 1..=load.entries() {
-        arm.publish(publisher, number, load.entry_bytes);
-        arm.run(SECOND / load.entries_per_second.max(1));
+        run.publish(publisher, number, load.entry_bytes);
+        run.run(SECOND / load.entries_per_second.max(1));
     }
-    let ended = arm.now;
-    arm.run(20 * SECOND);
-    arm.judge(load, begun, ended)
+    let ended_at = run.now;
+    run.run(20 * SECOND);
+    run.outcome(load, started_at, ended_at)
 }
 
-impl Arm {
+impl BaselineRun {
     fn new(load: &Load) -> Self {
-        let got: Vec<Got> = (0..load.nodes).map(|_| Got::default()).collect();
+        let received: Vec<ReceivedItems> = (0..load.nodes).map(|_| ReceivedItems::default()).collect();
         let engines = (0..load.nodes).map(|node| {
             let random = rand_engine::SeedableRng::seed_from_u64(load.seed << 32 | node as u64);
             let settings = settings(load.nodes);
@@ -160,34 +160,34 @@
                 settings,
                 random,
                 PostcardCodec,
-                got[node].clone(),
+                received[node].clone(),
             )
         });
-        let mut arm = Self {
+        let mut run = Self {
             topology: Topology::default(),
             seed: load.seed,
             loss: load.loss,
             random: Xoshiro256PlusPlus::seed_from_u64(load.seed),
             now: 0,
-            count: 0,
+            scheduled: 0,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             engines: engines.collect(),
-            seen: vec![0; load.nodes],
+            recorded: vec![0; load.nodes],
             published: BTreeMap::new(),
             last: BTreeMap::new(),
             traffic: Traffic::new(load.nodes),
-            got,
+            received,
         };
         let all: Vec<foca::Member<Node>> =
             (0..load.nodes).map(|node| foca::Member::alive(Node(address(node)))).collect();
         for node in 0..load.nodes {
             let mut effects = Effects::default();
-            // All know each other from the beginning.
-            let _ = arm.engines[node].apply_many(all.iter().cloned(), false, &mut effects);
-            arm.carry_out(node, effects);
+            // All nodes know each other from the beginning.
+            let _ = run.engines[node].apply_many(all.iter().cloned(), false, &mut effects);
+            run.apply_effects(node, effects);
         }
-        arm
+        run
     }
 
     fn publish(&mut self, node: usize, number: u64, bytes: usize) {
@@ -197,22 +197,22 @@
         let _ = self.engines[node].add_broadcast(&item);
         let mut effects = Effects::default();
         let _ = self.engines[node].gossip(&mut effects);
-        self.carry_out(node, effects);
+        self.apply_effects(node, effects);
     }
 
-    fn at(&mut self, at: Micros, event: Event) {
-        self.count += 1;
-        self.events.insert(self.count, event);
-        self.queue.push(Reverse((at, self.count)));
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.scheduled += 1;
+        self.events.insert(self.scheduled, event);
+        self.queue.push(Reverse((at, self.scheduled)));
     }
 
     fn run(&mut self, micros: Micros) {
         let end = self.now + micros;
         while self.queue.peek().is_some_and(|Reverse((at, _))| *at <= end) {
-            let Some(Reverse((at, place))) = self.queue.pop() else { break };
+            let Some(Reverse((at, event_id))) = self.queue.pop() else { break };
             self.now = at;
             let mut effects = Effects::default();
-            let node = match self.events.remove(&place) {
+            let node = match self.events.remove(&event_id) {
                 Some(Event::Datagram(node, data)) => {
                     let _ = self.engines[node].handle_data(&data, &mut effects);
                     node
@@ -223,52 +223,55 @@
                 }
                 None => continue,
             };
-            self.carry_out(node, effects);
+            self.apply_effects(node, effects);
         }
         self.now = end;
     }
 
-    fn carry_out(&mut self, node: usize, effects: Effects) {
-        let new = self.got[node].0.borrow()[self.seen[node]..].to_vec();
-        self.seen[node] += new.len();
+    fn apply_effects(&mut self, node: usize, effects: Effects) {
+        let new = self.received[node].0.borrow()[self.recorded[node]..].to_vec();
+        self.recorded[node] += new.len();
         for number in new {
             let last = self.last.entry(number).or_insert((0, 0));
             *last = (self.now, last.1 + 1);
         }
         for (after, timer) in effects.timers {
-            self.at(self.now + after.as_micros() as Micros, Event::Engine(node, timer));
+            self.schedule(self.now + after.as_micros() as Micros, Event::Engine(node, timer));
         }
         for (to, data) in effects.sends {
             self.traffic.sent(self.now, node, data.len());
-            let Some(to) = place(to.0).filter(|&to| to < self.engines.len()) else { continue };
+            let Some(to) = node_index(to.0).filter(|&to| to < self.engines.len()) else { continue };
             if self.random.random::<f64>() >= self.loss {
-                let way = self.topology.way(self.seed, node, to, &mut self.random);
-                self.at(self.now + way, Event::Datagram(to, data));
+                let latency = self.topology.latency(self.seed, node, to, &mut self.random);
+                self.schedule(self.now + latency, Event::Datagram(to, data));
             }
         }
     }
 
-    fn judge(&self, load: &Load, begun: Micros, ended: Micros) -> BaselineOutcome {
-        // The publisher itself gets none of its own.
+    fn outcome(&self, load: &Load, started_at: Micros, ended_at: Micros) -> BaselineOutcome {
+        // The publisher does not receive its own items.
         let others = load.nodes - 1;
-        let never = self.published.keys().filter(|number| self.last.get(number).is_none_or(|l| l.1 < others));
+        let incomplete =
+            self.published.keys().filter(|number| self.last.get(number).is_none_or(|l| l.1 < others));
         let mut times: Vec<Micros> =
             self.last.iter().filter_map(|(number, (at, _))| Some(at - self.published.get(number)?)).collect();
         times.sort_unstable();
-        let disordered = |got: &Got| got.0.borrow().windows(2).filter(|pair| pair[1] < pair[0]).count();
+        let out_of_order = |received: &ReceivedItems| {
+            received.0.borrow().windows(2).filter(|pair| pair[1] < pair[0]).count()
+        };
         BaselineOutcome {
             largest_s: seconds(times.last().copied().unwrap_or(0)),
             median_s: seconds(times.get(times.len() / 2).copied().unwrap_or(0)),
-            never: never.count(),
-            out_of_order: self.got.iter().map(disordered).sum(),
-            peak_1s: self.traffic.largest(begun, SECOND),
-            peak_5s: self.traffic.largest(begun, 5 * SECOND),
-            mean: self.traffic.mean(begun, ended),
+            incomplete: incomplete.count(),
+            out_of_order: self.received.iter().map(out_of_order).sum(),
+            peak_1s: self.traffic.peak_rate(started_at, SECOND),
+            peak_5s: self.traffic.peak_rate(started_at, 5 * SECOND),
+            mean: self.traffic.mean_rate(started_at, ended_at),
         }
     }
 }
 
-/// As the program sets the engine in a cluster of so many.
+/// The library settings that walkpick uses in a cluster of this size.
 fn settings(nodes: usize) -> foca::Config {
     let number = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let transmissions = (3.0 * (nodes.max(2) as f64).log2().max(2.0)).min(64.0) as u8;
@@ -279,7 +282,7 @@
         max_transmissions: NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: Duration::from_secs(10),
         remove_down_after: Some(Duration::from_secs(600)),
-        max_packet_size: number(LARGEST),
+        max_packet_size: number(MAX_DATAGRAM_BYTES),
         notify_down_members: true,
         periodic_announce: None,
         periodic_announce_to_down_members: None,
--- a/lab/src/dissemination/joint.rs
+++ b/lab/src/dissemination/joint.rs
@@ -1,4 +1,4 @@
-//! The planned load over real membership in simulated time: bytes of both, on one budget.
+//! Loads over real membership in simulated time; the traffic of both counts against one byte budget.
 
 use super::ledger::{EntryId, Ledger, Subscriber};
 use super::scenario::{seconds, Load, Outcome};
@@ -11,39 +11,39 @@
 };
 use walkpick::peers::PeersConfig;
 
-/// Nodes have so long to meet.
-const MEET: Micros = 60 * SECOND;
-/// Then what joining takes is over.
+/// Time limit for all nodes to join.
+const JOIN_TIMEOUT: Micros = 60 * SECOND;
+/// Time after joining until its traffic has ended_at.
 const SETTLE: Micros = 10 * SECOND;
-/// After the last entry, all have so long.
+/// Time for delivery to all nodes after the last entry.
 const DRAIN: Micros = 8 * SECOND;
-/// What is published so long before a zone is lost may meet that on its way: the bound on an entry.
-const ON_ITS_WAY: Micros = 2_400_000;
-/// So long after it, the bounds hold again.
+/// Bound on the delivery time of an entry; what is published this long before the loss of a zone may be affected by it.
+const DELIVERY_BOUND: Micros = 2_400_000;
+/// Time after the loss of a zone from which the bounds hold again.
 const RECOVERY: Micros = 5 * SECOND;
-/// What was told is read this often.
-const STEP: Micros = SECOND / 6;
-/// The kind of the state that is published.
+/// Interval at which outputs are read after the last entry.
+const READ_INTERVAL: Micros = SECOND / 6;
+/// Kind of the published state.
 const STATE: u16 = 1;
 const SEEDS: usize = 3;
 
-/// A run under way.
+/// A load that is being run.
 struct Run {
     cluster: SimulatedCluster,
     publisher: usize,
     key: u64,
     ledger: Ledger,
     states: Vec<Micros>,
-    /// When each node first had a version in force, by version.
-    in_force: BTreeMap<(u64, usize), Micros>,
+    /// Time at which a node first applied a version, by version and node.
+    applied_at: BTreeMap<(u64, usize), Micros>,
     acknowledged: Vec<Micros>,
     named_late: usize,
-    false_words: usize,
-    /// When a zone was lost.
-    lost_at: Option<Micros>,
+    false_acknowledgements: usize,
+    /// Time at which a zone was lost.
+    zone_lost_at: Option<Micros>,
 }
 
-/// Runs a load on as many peers as it names, with their membership.
+/// Runs a load on peers with real membership.
 pub fn run(load: &Load) -> Outcome {
     let config = PeersConfig {
         configured_nodes: load.nodes as u32,
@@ -54,7 +54,7 @@
         .with_topology(Topology::Regions);
     cluster.links = LinkConditions { loss: load.loss, ..LinkConditions::default() };
     (0..load.nodes).for_each(|node| cluster.start(node));
-    cluster.run_until(MEET, SimulatedCluster::converged);
+    cluster.run_until(JOIN_TIMEOUT, SimulatedCluster::converged);
     cluster.run(SETTLE);
     let publisher = load.nodes / 2;
     let key =
@@ -66,37 +66,37 @@
         key,
         ledger: Ledger::default(),
         states: Vec::new(),
-        in_force: BTreeMap::new(),
+        applied_at: BTreeMap::new(),
         acknowledged: Vec::new(),
         named_late: 0,
-        false_words: 0,
-        lost_at: None,
+        false_acknowledgements: 0,
+        zone_lost_at: None,
     };
     run.cluster.disseminated.clear();
     run.cluster.begin_measuring();
-    let begun = run.cluster.now();
+    let started_at = run.cluster.now();
     run.cluster.sent_by_slot = Some(Traffic::new(load.nodes));
     let count = load.entries_per_second * load.seconds;
-    let lost_from = load.zone_lost_after_s.map(|after| begun + after * SECOND);
+    let zone_lost_from = load.zone_lost_after_s.map(|after| started_at + after * SECOND);
     for sequence in 1..=count {
-        if run.lost_at.is_none() && lost_from.is_some_and(|from| run.cluster.now() >= from) {
+        if run.zone_lost_at.is_none() && zone_lost_from.is_some_and(|from| run.cluster.now() >= from) {
             run.lose_zone();
         }
         let due = load.state_every_s > 0
-            && run.cluster.now() >= begun + run.states.len() as Micros * load.state_every_s * SECOND;
+            && run.cluster.now() >= started_at + run.states.len() as Micros * load.state_every_s * SECOND;
         if due {
             run.publish_state();
         }
         run.publish(sequence, load.entry_bytes);
-        run.advance(begun + sequence * SECOND / load.entries_per_second.max(1));
+        run.advance(started_at + sequence * SECOND / load.entries_per_second.max(1));
     }
-    let ended = run.cluster.now();
-    let until = ended + DRAIN;
+    let ended_at = run.cluster.now();
+    let until = ended_at + DRAIN;
     while run.cluster.now() < until {
-        let next = run.cluster.now() + STEP;
+        let next = run.cluster.now() + READ_INTERVAL;
         run.advance(next);
     }
-    run.judge(load, begun, ended, count)
+    run.outcome(load, started_at, ended_at, count)
 }
 
 impl Run {
@@ -116,7 +116,7 @@
         });
     }
 
-    /// Kills all nodes of the first zone that is neither the publisher's nor has a seed.
+    /// Kills all nodes of the first zone that contains neither the publisher nor a seed.
     fn lose_zone(&mut self) {
         let zone = |node: usize| Topology::Regions.location(node).zone;
         let kept: Vec<usize> = (0..SEEDS).chain([self.publisher]).map(zone).collect();
@@ -125,27 +125,27 @@
             self.cluster.kill(node);
             self.ledger.exempt.insert(node);
         }
-        self.lost_at = Some(self.cluster.now());
+        self.zone_lost_at = Some(self.cluster.now());
     }
 
     fn advance(&mut self, until: Micros) {
         self.cluster.run(until.saturating_sub(self.cluster.now()));
-        for told in std::mem::take(&mut self.cluster.disseminated) {
-            let subscriber = Subscriber { node: told.node, life: 1, publisher: self.key };
-            match told.output {
+        for event in std::mem::take(&mut self.cluster.disseminated) {
+            let subscriber = Subscriber { node: event.node, incarnation: 1, publisher: self.key };
+            match event.output {
                 DisseminationOutput::Deliver { publisher, entry } => {
                     let id = EntryId { publisher, epoch: entry.epoch, sequence: entry.sequence };
-                    self.ledger.delivered(told.at, subscriber, id, says(publisher, &entry));
+                    self.ledger.delivered(event.at, subscriber, id, encoded_id(publisher, &entry));
                 }
                 DisseminationOutput::LogReset { after, through, .. } => {
-                    self.ledger.reset(told.at, subscriber, after, through);
+                    self.ledger.reset(event.at, subscriber, after, through);
                 }
                 DisseminationOutput::StateApplied { entry, .. } => {
-                    self.in_force.entry((entry.sequence, told.node)).or_insert(told.at);
+                    self.applied_at.entry((entry.sequence, event.node)).or_insert(event.at);
                 }
                 DisseminationOutput::Acknowledged { elapsed, nodes, .. } => {
                     self.acknowledged.push(elapsed);
-                    self.false_words += usize::from((nodes as usize) < self.alive());
+                    self.false_acknowledgements += usize::from((nodes as usize) < self.alive());
                 }
                 DisseminationOutput::Unacknowledged { .. } => self.named_late += 1,
                 _ => {}
@@ -165,11 +165,12 @@
         self.cluster.peers(node).and_then(|peers| peers.dissemination())
     }
 
-    fn judge(&self, load: &Load, begun: Micros, ended: Micros, count: u64) -> Outcome {
-        let times = self.calm_times(begun, ended + SECOND);
+    fn outcome(&self, load: &Load, started_at: Micros, ended_at: Micros, count: u64) -> Outcome {
+        let times = self.undisturbed_times(started_at, ended_at + SECOND);
         let nodes = self.nodes();
-        let got =
-            |node: usize| self.ledger.count(Subscriber { node, life: 1, publisher: self.key }, 1) as u64;
+        let received = |node: usize| {
+            self.ledger.count(Subscriber { node, incarnation: 1, publisher: self.key }, 1) as u64
+        };
         let sent = self.cluster.sent_by_slot.clone().unwrap_or_else(|| Traffic::new(nodes));
         let cores = (0..nodes).filter_map(|node| self.core(node));
         let mut counters = DisseminationCounters::default();
@@ -179,57 +180,62 @@
         Outcome {
             load: load.clone(),
             log_largest_s: seconds(times.last().copied().unwrap_or(0)),
-            log_trouble_s: seconds(self.trouble().map_or(0, |(from, to)| self.ledger.slowest(from, to))),
+            log_trouble_s: seconds(
+                self.disturbed_period().map_or(0, |(from, to)| self.ledger.max_delivery_time(from, to)),
+            ),
             log_median_s: seconds(times.get(times.len() / 2).copied().unwrap_or(0)),
-            state_largest_s: seconds(self.state_largest(|at| !self.in_trouble(at))),
-            state_trouble_s: seconds(self.state_largest(|at| self.in_trouble(at))),
+            state_largest_s: seconds(self.state_largest(|at| !self.is_disturbed(at))),
+            state_trouble_s: seconds(self.state_largest(|at| self.is_disturbed(at))),
             acknowledged_largest_s: seconds(self.acknowledged.iter().copied().max().unwrap_or(0)),
             acknowledged: self.acknowledged.len(),
             named_late: self.named_late,
-            false_words: self.false_words,
+            false_acknowledgements: self.false_acknowledgements,
             faults: self.ledger.faults.len(),
-            lost: self.left().map(|node| count.saturating_sub(got(node))).sum(),
-            resets: self.ledger.resets.iter().filter(|reset| reset.at > begun).count(),
-            peak_1s: sent.largest(begun, SECOND),
-            peak_5s: sent.largest(begun, 5 * SECOND),
-            mean: sent.mean(begun, ended),
+            lost: self.survivors().map(|node| count.saturating_sub(received(node))).sum(),
+            resets: self.ledger.resets.iter().filter(|reset| reset.at > started_at).count(),
+            peak_1s: sent.peak_rate(started_at, SECOND),
+            peak_5s: sent.peak_rate(started_at, 5 * SECOND),
+            mean: sent.mean_rate(started_at, ended_at),
             between_regions: 0.0,
             held_bytes: cores.map(Dissemination::held_bytes).max().unwrap_or(0),
             counters,
         }
     }
 
-    /// Nodes that were not lost.
-    fn left(&self) -> impl Iterator<Item = usize> + '_ {
+    /// Nodes outside the lost zone.
+    fn survivors(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.nodes()).filter(|node| !self.ledger.exempt.contains(node))
     }
 
-    /// From when to when the loss of a zone meets what is published.
-    fn trouble(&self) -> Option<(Micros, Micros)> {
-        self.lost_at.map(|at| (at.saturating_sub(ON_ITS_WAY), at + RECOVERY))
+    /// Period in which publications are affected by the loss of a zone.
+    fn disturbed_period(&self) -> Option<(Micros, Micros)> {
+        self.zone_lost_at.map(|at| (at.saturating_sub(DELIVERY_BOUND), at + RECOVERY))
     }
 
-    /// The times of entries that no loss met, in order.
-    fn calm_times(&self, since: Micros, until: Micros) -> Vec<Micros> {
-        let Some((from, to)) = self.trouble() else { return self.ledger.times(since, until) };
-        let mut times = self.ledger.times(since, from);
-        times.extend(self.ledger.times(to, until));
+    /// Sorted delivery times of entries not affected by the loss of a zone.
+    fn undisturbed_times(&self, since: Micros, until: Micros) -> Vec<Micros> {
+        let Some((from, to)) = self.disturbed_period() else {
+            return self.ledger.sorted_delivery_times(since, until);
+        };
+        let mut times = self.ledger.sorted_delivery_times(since, from);
+        times.extend(self.ledger.sorted_delivery_times(to, until));
         times.sort_unstable();
         times
     }
 
-    fn in_trouble(&self, at: Micros) -> bool {
-        self.trouble().is_some_and(|(from, to)| (from..to).contains(&at))
+    fn is_disturbed(&self, at: Micros) -> bool {
+        self.disturbed_period().is_some_and(|(from, to)| (from..to).contains(&at))
     }
 
-    /// The largest time from a change of state, of those published at such times, until all had it, or a newer one, in
-    /// force.
-    fn state_largest(&self, counts: impl Fn(Micros) -> bool) -> Micros {
+    /// The largest time from a state change until all nodes had applied it or a newer one, over the changes whose publication
+    /// time is selected by `include`.
+    fn state_largest(&self, include: impl Fn(Micros) -> bool) -> Micros {
         let mut largest = 0;
-        for (place, &published) in self.states.iter().enumerate().filter(|(_, at)| counts(**at)) {
-            let version = place as u64 + 1;
-            for node in self.left() {
-                let later = self.in_force.iter().filter(|((found, by), _)| *by == node && *found >= version);
+        for (index, &published) in self.states.iter().enumerate().filter(|(_, at)| include(**at)) {
+            let version = index as u64 + 1;
+            for node in self.survivors() {
+                let later =
+                    self.applied_at.iter().filter(|((found, by), _)| *by == node && *found >= version);
                 let at = later.map(|(_, at)| *at).min().unwrap_or(self.cluster.now());
                 largest = largest.max(at.saturating_sub(published));
             }
@@ -238,7 +244,8 @@
     }
 }
 
-fn says(publisher: u64, entry: &Entry) -> Option<EntryId> {
+/// The id that is encoded in the payload of an entry.
+fn encoded_id(publisher: u64, entry: &Entry) -> Option<EntryId> {
     let sequence = entry.payload.get(..8)?.try_into().ok().map(u64::from_le_bytes)?;
     Some(EntryId { publisher, epoch: entry.epoch, sequence })
 }
--- a/lab/src/dissemination/ledger.rs
+++ b/lab/src/dissemination/ledger.rs
@@ -1,4 +1,4 @@
-//! What was published, and what each node's subscriber got: the lab's own record, that every verdict is drawn from.
+//! The lab's own record of what was published and what each node's subscriber received; all checks are based on it.
 
 use crate::model::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -8,76 +8,76 @@
 pub struct EntryId {
     /// The publisher's key.
     pub publisher: u64,
-    /// The epoch.
+    /// Epoch of the publisher's log.
     pub epoch: u64,
-    /// The sequence.
+    /// Sequence number in the log.
     pub sequence: u64,
 }
 
-/// Whose subscriber.
+/// A subscriber of a node to a publisher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Subscriber {
     /// The node.
     pub node: usize,
-    /// Which of its lives.
-    pub life: u32,
-    /// Which publisher's entries.
+    /// Incarnation of the node.
+    pub incarnation: u32,
+    /// The publisher's key.
     pub publisher: u64,
 }
 
-/// An explicit word that entries are left out.
+/// An explicit notification that a subscriber skips entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reset {
-    /// When.
+    /// Time of the notification.
     pub at: Micros,
-    /// Whose.
+    /// The subscriber that was notified.
     pub subscriber: Subscriber,
-    /// Behind this one.
+    /// The last entry before the gap.
     pub after: u64,
-    /// Up to this one.
+    /// The last entry that is skipped.
     pub through: u64,
 }
 
-/// What went wrong.
+/// A violation of the delivery guarantees.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// An entry came that is not the next one.
+    /// The entry is not the next one in sequence.
     OutOfOrder(Subscriber, EntryId),
-    /// An entry came again.
-    Twice(Subscriber, EntryId),
-    /// An entry came that nobody published, or another one in its place.
+    /// The entry was delivered before.
+    Duplicate(Subscriber, EntryId),
+    /// The entry was never published, or its payload is that of another entry.
     NotPublished(Subscriber, EntryId),
 }
 
-/// The record.
+/// Record of published and delivered entries.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     published: BTreeMap<EntryId, Micros>,
-    /// The last sequence that each subscriber got.
+    /// The last sequence number that each subscriber received.
     last: HashMap<Subscriber, u64>,
-    got: HashMap<Subscriber, BTreeSet<(u64, u64)>>,
-    /// Times from publishing to the subscriber, by entry: the largest of all nodes.
-    slowest: BTreeMap<EntryId, Micros>,
-    /// Nodes whose times don't count: what they miss is the point of a case.
+    received: HashMap<Subscriber, BTreeSet<(u64, u64)>>,
+    /// Largest time over all nodes from publication to delivery, by entry.
+    delivery_times: BTreeMap<EntryId, Micros>,
+    /// Nodes whose delivery times are ignored because the case makes them miss entries.
     pub exempt: BTreeSet<usize>,
-    /// Resets that were told.
+    /// All notified resets.
     pub resets: Vec<Reset>,
-    /// What went wrong.
+    /// All violations found.
     pub faults: Vec<Fault>,
-    /// Entries that were delivered, of all nodes.
+    /// Number of entries delivered to all nodes.
     pub delivered: u64,
 }
 
 impl Ledger {
-    /// An entry was published.
+    /// Records the publication of an entry.
     pub fn published(&mut self, at: Micros, id: EntryId) {
         self.published.insert(id, at);
     }
 
-    /// A subscriber got an entry. `says`: what its payload says that it is.
-    pub fn delivered(&mut self, now: Micros, subscriber: Subscriber, id: EntryId, says: Option<EntryId>) {
+    /// Records the delivery of an entry to a subscriber. `claimed` is the id that is encoded in its payload.
+    pub fn delivered(&mut self, now: Micros, subscriber: Subscriber, id: EntryId, claimed: Option<EntryId>) {
         self.delivered += 1;
-        let Some(&at) = self.published.get(&id).filter(|_| says == Some(id)) else {
+        let Some(&at) = self.published.get(&id).filter(|_| claimed == Some(id)) else {
             self.faults.push(Fault::NotPublished(subscriber, id));
             return;
         };
@@ -86,54 +86,56 @@
             self.faults.push(Fault::OutOfOrder(subscriber, id));
         }
         *last = id.sequence;
-        if !self.got.entry(subscriber).or_default().insert((id.epoch, id.sequence)) {
-            self.faults.push(Fault::Twice(subscriber, id));
+        if !self.received.entry(subscriber).or_default().insert((id.epoch, id.sequence)) {
+            self.faults.push(Fault::Duplicate(subscriber, id));
         }
         if self.exempt.contains(&subscriber.node) {
             return;
         }
-        let slowest = self.slowest.entry(id).or_insert(0);
-        *slowest = (*slowest).max(now - at);
+        let longest = self.delivery_times.entry(id).or_insert(0);
+        *longest = (*longest).max(now - at);
     }
 
-    /// A subscriber was told that entries are left out.
+    /// Records that a subscriber was notified of skipped entries.
     pub fn reset(&mut self, at: Micros, subscriber: Subscriber, after: u64, through: u64) {
         self.resets.push(Reset { at, subscriber, after, through });
         self.last.insert(subscriber, through);
     }
 
-    /// A subscriber was told that a publisher goes on under a later epoch.
+    /// Records that a subscriber was notified of a later epoch of the publisher.
     pub fn epoch_changed(&mut self, subscriber: Subscriber, first: u64) {
         let last = self.last.entry(subscriber).or_insert(0);
         *last = (*last).min(first - 1);
     }
 
-    /// The last sequence that a subscriber got.
+    /// The last sequence number that a subscriber received.
     pub fn last(&self, subscriber: Subscriber) -> u64 {
         self.last.get(&subscriber).copied().unwrap_or(0)
     }
 
-    /// How many entries of an epoch a subscriber got.
+    /// Number of entries of an epoch that a subscriber received.
     pub fn count(&self, subscriber: Subscriber, epoch: u64) -> usize {
-        self.got.get(&subscriber).map_or(0, |got| got.iter().filter(|entry| entry.0 == epoch).count())
+        self.received
+            .get(&subscriber)
+            .map_or(0, |received| received.iter().filter(|entry| entry.0 == epoch).count())
     }
 
-    /// When an entry was published.
+    /// Time at which an entry was published.
     pub fn published_at(&self, id: EntryId) -> Option<Micros> {
         self.published.get(&id).copied()
     }
 
-    /// The largest time from publishing to any subscriber, of entries published in this span.
-    pub fn slowest(&self, since: Micros, until: Micros) -> Micros {
+    /// The largest time from publication to any subscriber, over entries published in this period.
+    pub fn max_delivery_time(&self, since: Micros, until: Micros) -> Micros {
         let within = |id: &EntryId| self.published.get(id).is_some_and(|at| (since..until).contains(at));
-        self.slowest.iter().filter(|(id, _)| within(id)).map(|(_, took)| *took).max().unwrap_or(0)
+        self.delivery_times.iter().filter(|(id, _)| within(id)).map(|(_, time)| *time).max().unwrap_or(0)
     }
 
-    /// The times to the last subscriber, of all entries published in this span, in order.
-    pub fn times(&self, since: Micros, until: Micros) -> Vec<Micros> {
+    /// Sorted times from publication to the last subscriber, of all entries published in this period.
+    pub fn sorted_delivery_times(&self, since: Micros, until: Micros) -> Vec<Micros> {
         let within = |id: &EntryId| self.published.get(id).is_some_and(|at| (since..until).contains(at));
         let mut times: Vec<Micros> =
-            self.slowest.iter().filter(|(id, _)| within(id)).map(|(_, took)| *took).collect();
+            self.delivery_times.iter().filter(|(id, _)| within(id)).map(|(_, time)| *time).collect();
         times.sort_unstable();
         times
     }
--- a/lab/src/dissemination/mod.rs
+++ b/lab/src/dissemination/mod.rs
@@ -1,5 +1,6 @@
-//! Ordered dissemination at scale, in simulated time: any number of the program's cores over regions, zones and sites,
-//! with a network of datagrams between them and a membership that is told what happens. The same seed gives the same run.
+//! Ordered dissemination at scale, in simulated time: any number of walkpick's dissemination state machines (cores) in regions,
+//! zones and sites, with a simulated datagram network and either real or stand-in membership. The same seed gives the same
+//! run.
 
 pub mod baseline;
 pub mod cluster;
--- a/lab/src/dissemination/scenario.rs
+++ b/lab/src/dissemination/scenario.rs
@@ -1,4 +1,4 @@
-//! Loads on a cluster of cores, with what came of them.
+//! Loads on a cluster of dissemination cores, and their outcomes.
 
 use super::cluster::Cluster;
 use super::topology::Topology;
@@ -7,40 +7,40 @@
 use serde::{Deserialize, Serialize};
 use walkpick::peers::dissemination::{DisseminationCounters, DisseminationOutput};
 
-/// Nodes have so long to be told where logs stand before anything is published.
+/// Time for nodes to receive the positions of logs before anything is published.
 const SETTLE: Micros = 4 * SECOND;
-/// After the last entry, all have so long.
+/// Time limit for delivery to all nodes after the last entry.
 const DRAIN: Micros = 10 * SECOND;
 
 /// A steady load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Part of the datagrams that are lost.
+    /// Fraction of the datagrams that are lost.
     pub loss: f64,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Entries of the log a second.
+    /// Log entries published per second.
     pub entries_per_second: u64,
-    /// Bytes of each entry's payload.
+    /// Payload size of each entry.
     pub entry_bytes: usize,
-    /// For so many seconds.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// A change of state every so many seconds; none at 0.
+    /// Interval of state changes in seconds; 0 means no changes.
     pub state_every_s: u64,
-    /// A zone other than the publisher's is lost after so many seconds; over real membership alone.
+    /// Time after which a zone other than the publisher's is lost, in seconds; only with real membership.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone_lost_after_s: Option<u64>,
 }
 
 impl Load {
-    /// All entries of the log.
+    /// Total number of log entries.
     pub fn entries(&self) -> u64 {
         self.entries_per_second * self.seconds
     }
 
-    /// The operators' plan: 6 purges a second for 60 s, and a change of configuration every 10 s.
+    /// The planned load: 6 purges per second for 60 s, and a change of configuration every 10 s.
     pub fn planned(nodes: usize, loss: f64, seed: u64) -> Self {
         Self {
             nodes,
@@ -55,69 +55,71 @@
     }
 }
 
-/// What a load came to. Times are in seconds.
+/// Outcome of a load. Times are in seconds.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
     /// The load.
     pub load: Load,
-    /// The largest time from publishing an entry until a subscriber had it; away from a zone's loss and the 5 s behind it.
+    /// Largest time from publishing an entry to its delivery, excluding entries affected by the loss of a zone up to 5 s after it.
     pub log_largest_s: f64,
-    /// The same of entries that the loss met.
+    /// The same for entries affected by the loss of a zone.
     pub log_trouble_s: f64,
-    /// The same, of half of the entries.
+    /// Median over entries of the time until the last node had received the entry.
     pub log_median_s: f64,
-    /// The largest time from a change of state until all had it in force; away from a zone's loss and the 5 s behind it.
+    /// Largest time from a state change until all nodes had applied it, excluding changes affected by the loss of a zone up to
+    /// 5 s after it.
     pub state_largest_s: f64,
-    /// The same of changes that the loss met.
+    /// The same for state changes affected by the loss of a zone.
     pub state_trouble_s: f64,
-    /// Until the publisher could say of an entry that all had applied it: the largest.
+    /// Largest time until the publisher knew that all nodes had applied an entry.
     pub acknowledged_largest_s: f64,
-    /// Entries of which it could say so.
+    /// Number of entries that were acknowledged by all nodes.
     pub acknowledged: usize,
-    /// Entries that were not acknowledged in time at first.
+    /// Number of entries first reported as not acknowledged in time.
     pub named_late: usize,
-    /// False acknowledgements.
-    pub false_words: usize,
-    /// Entries that came twice, out of order, or were nobody's.
+    /// Number of false acknowledgements.
+    #[serde(rename = "false_words")]
+    pub false_acknowledgements: usize,
+    /// Deliveries that were duplicate, out of order, or of entries never published.
     pub faults: usize,
-    /// Entries that did not reach a node.
+    /// Entries not delivered, summed over nodes.
     pub lost: u64,
-    /// Resets that subscribers were told of, those of their start apart.
+    /// Log resets that subscribers were notified of, except at their start.
     pub resets: usize,
-    /// The most that a node sent in a second.
+    /// Peak bytes sent by any node in 1 s.
     pub peak_1s: f64,
-    /// The most that a node sent in 5 s, a second.
+    /// Peak bytes per second sent by any node over 5 s.
     pub peak_5s: f64,
-    /// What a node sent in the mean, a second.
+    /// Mean bytes per second sent by a node.
     pub mean: f64,
-    /// The part of all bytes that went between regions.
+    /// Fraction of all bytes that were sent between regions.
     pub between_regions: f64,
-    /// The most that a node held of entries, in bytes.
+    /// Largest memory used by any node for entries, in bytes.
     pub held_bytes: usize,
-    /// The sums of counters.
+    /// Sums of the nodes' counters.
     pub counters: DisseminationCounters,
 }
 
-/// Runs a load: one publisher, which is not the first node of its region by name.
+/// Runs a load with one publisher, which is not the first node of its region by name.
 pub fn run(load: &Load) -> Outcome {
     let mut cluster = Cluster::new(Topology::default(), load.nodes, load.seed);
-    cluster.way = Way { loss: load.loss, ..Way::default() };
+    cluster.link = Way { loss: load.loss, ..Way::default() };
     cluster.start_all();
     cluster.run(SETTLE);
     let publisher = load.nodes / 2;
     let _ = cluster.open(publisher, 1, 1, Vec::new());
     let begun = cluster.now();
-    let state_times = drive(&mut cluster, publisher, load);
+    let state_times = publish_load(&mut cluster, publisher, load);
     let ended = cluster.now();
     let key = cluster.key(publisher);
     let count = load.entries_per_second * load.seconds;
-    cluster.run_until(DRAIN, |cluster| cluster.all_have(key, count));
+    cluster.run_until(DRAIN, |cluster| cluster.all_delivered(key, count));
     cluster.run(DRAIN / 2);
-    judge(&cluster, load, begun, ended, count, key, &state_times)
+    outcome(&cluster, load, begun, ended, count, key, &state_times)
 }
 
-/// Publishes at a steady pace; when each version of the state was published.
-pub fn drive(cluster: &mut Cluster, publisher: usize, load: &Load) -> Vec<Micros> {
+/// Publishes at a steady rate; returns the publication time of each state version.
+pub fn publish_load(cluster: &mut Cluster, publisher: usize, load: &Load) -> Vec<Micros> {
     let count = load.entries_per_second * load.seconds;
     let begun = cluster.now();
     let mut states = Vec::new();
@@ -134,7 +136,7 @@
     states
 }
 
-fn judge(
+fn outcome(
     cluster: &Cluster,
     load: &Load,
     begun: Micros,
@@ -143,18 +145,18 @@
     publisher: u64,
     states: &[Micros],
 ) -> Outcome {
-    let times = cluster.ledger.times(begun, ended + SECOND);
+    let times = cluster.ledger.sorted_delivery_times(begun, ended + SECOND);
     let mut acknowledged = Vec::new();
     let mut named_late = 0;
-    for word in &cluster.words {
-        match word.output {
+    for event in &cluster.publisher_events {
+        match event.output {
             DisseminationOutput::Acknowledged { elapsed, .. } => acknowledged.push(elapsed),
             DisseminationOutput::Unacknowledged { .. } => named_late += 1,
             _ => {}
         }
     }
-    let got = |node: usize| cluster.ledger.count(cluster.subscriber(node, publisher), 1) as u64;
-    let lost = (0..cluster.len()).map(|node| count.saturating_sub(got(node))).sum();
+    let received = |node: usize| cluster.ledger.count(cluster.subscriber(node, publisher), 1) as u64;
+    let lost = (0..cluster.len()).map(|node| count.saturating_sub(received(node))).sum();
     let held = (0..cluster.len()).filter_map(|node| cluster.core(node)).map(|core| core.held_bytes());
     Outcome {
         load: load.clone(),
@@ -166,27 +168,27 @@
         acknowledged_largest_s: seconds(acknowledged.iter().copied().max().unwrap_or(0)),
         acknowledged: acknowledged.len(),
         named_late,
-        false_words: cluster.false_words.len(),
+        false_acknowledgements: cluster.false_acknowledgements.len(),
         faults: cluster.ledger.faults.len(),
         lost,
         resets: cluster.ledger.resets.iter().filter(|reset| reset.at > begun).count(),
-        peak_1s: cluster.traffic.largest(begun, SECOND),
-        peak_5s: cluster.traffic.largest(begun, 5 * SECOND),
-        mean: cluster.traffic.mean(begun, ended),
+        peak_1s: cluster.traffic.peak_rate(begun, SECOND),
+        peak_5s: cluster.traffic.peak_rate(begun, 5 * SECOND),
+        mean: cluster.traffic.mean_rate(begun, ended),
         between_regions: cluster.bytes_between_regions as f64 / cluster.bytes.max(1) as f64,
         held_bytes: held.max().unwrap_or(0),
         counters: cluster.counters(),
     }
 }
 
-/// The largest time from a change of state until all had it, or a newer one, in force.
+/// The largest time from a state change until all nodes had applied it or a newer one.
 fn state_largest(cluster: &Cluster, states: &[Micros]) -> Micros {
     let mut largest = 0;
-    for (place, &published) in states.iter().enumerate() {
-        let version = place as u64 + 1;
+    for (index, &published) in states.iter().enumerate() {
+        let version = index as u64 + 1;
         let mut first = vec![None; cluster.len()];
-        for told in cluster.in_force.iter().filter(|told| told.version >= version) {
-            first[told.node].get_or_insert(told.at);
+        for applied in cluster.applied_states.iter().filter(|applied| applied.version >= version) {
+            first[applied.node].get_or_insert(applied.at);
         }
         let never = cluster.now();
         let last = first.into_iter().map(|at| at.unwrap_or(never)).max().unwrap_or(never);
@@ -195,7 +197,7 @@
     largest
 }
 
-/// In seconds.
+/// Converts to seconds.
 pub fn seconds(time: Micros) -> f64 {
     time as f64 / SECOND as f64
 }
--- a/lab/src/dissemination/tests.rs
+++ b/lab/src/dissemination/tests.rs
@@ -1,4 +1,4 @@
-//! The hard cases, at the plan's 530 nodes in simulated time.
+//! Failure cases of dissemination at the planned 530 nodes, in simulated time.
 
 use super::cluster::{Cluster, BUDGET};
 use super::scenario::{run, seconds, Load};
@@ -10,26 +10,26 @@
 
 const NODES: usize = 530;
 const PUBLISHER: usize = 265;
-/// Each entry is everywhere within this time.
+/// Each entry reaches all nodes within this time.
 const BOUND: Micros = 2_400_000;
-/// Each version of a state is.
+/// Each state version reaches all nodes within this time.
 const STATE_BOUND: Micros = 3_000_000;
-const BYTES: usize = 100;
+const ENTRY_BYTES: usize = 100;
 
-/// One publisher's log in flow.
-struct Flow {
+/// Publishes one publisher's log.
+struct LogWriter {
     publisher: usize,
     epoch: u64,
     next: u64,
 }
 
-impl Flow {
+impl LogWriter {
     fn new(cluster: &mut Cluster, publisher: usize) -> Self {
         cluster.open(publisher, 1, 1, Vec::new()).unwrap();
         Self { publisher, epoch: 1, next: 1 }
     }
 
-    /// Six entries a second for so many seconds.
+    /// Publishes six entries per second for this many seconds.
     fn run(&mut self, cluster: &mut Cluster, secs: u64) {
         self.run_at(cluster, 6, secs);
     }
@@ -42,7 +42,7 @@
     }
 
     fn publish(&mut self, cluster: &mut Cluster) {
-        let published = cluster.publish(self.publisher, self.epoch, self.next, BYTES);
+        let published = cluster.publish(self.publisher, self.epoch, self.next, ENTRY_BYTES);
         assert_eq!(published, Ok(self.next));
         self.next += 1;
     }
@@ -51,54 +51,57 @@
         self.next - 1
     }
 
-    /// Until all that run have all of it.
-    fn finish(&self, cluster: &mut Cluster, limit: Micros) -> Option<Micros> {
+    /// Waits until all running nodes have delivered the whole log; returns the time taken.
+    fn wait_until_delivered(&self, cluster: &mut Cluster, limit: Micros) -> Option<Micros> {
         let key = cluster.key(self.publisher);
         let last = self.last();
-        cluster.run_until(limit, |cluster| cluster.all_have(key, last))
+        cluster.run_until(limit, |cluster| cluster.all_delivered(key, last))
     }
 }
 
-fn cluster(seed: u64, way: Way) -> Cluster {
+fn cluster(seed: u64, link: Way) -> Cluster {
     let mut cluster = Cluster::new(Topology::default(), NODES, seed);
-    cluster.way = way;
+    cluster.link = link;
     cluster.start_all();
     cluster.run(3 * SECOND);
     cluster
 }
 
-/// Nothing twice, out of order or made up; nobody was told that all had it while somebody had not; no node over budget.
-fn holds(cluster: &Cluster) {
+/// No delivery was duplicate, out of order or unpublished, no acknowledgement was false, and no node exceeded its budget.
+fn assert_guarantees(cluster: &Cluster) {
     assert_eq!(cluster.ledger.faults, []);
-    assert_eq!(cluster.false_words, []);
-    let peak = cluster.traffic.largest(0, SECOND);
+    assert_eq!(cluster.false_acknowledgements, []);
+    let peak = cluster.traffic.peak_rate(0, SECOND);
     assert!(peak <= f64::from(BUDGET), "{peak} bytes in a second");
 }
 
-/// Every node that runs has got every entry, none of them left out.
-fn none_left_out(cluster: &Cluster, flow: &Flow) {
-    let key = cluster.key(flow.publisher);
+/// Every running node has received every entry without a reset.
+fn assert_complete(cluster: &Cluster, writer: &LogWriter) {
+    let key = cluster.key(writer.publisher);
     for node in (0..cluster.len()).filter(|&node| cluster.alive(node)) {
         let subscriber = cluster.subscriber(node, key);
         let resets = cluster.ledger.resets.iter().filter(|reset| reset.subscriber == subscriber);
         assert_eq!(resets.count(), 0, "node {node}");
-        assert_eq!(cluster.ledger.last(subscriber), flow.last(), "node {node}");
+        assert_eq!(cluster.ledger.last(subscriber), writer.last(), "node {node}");
     }
 }
 
-fn slowest(cluster: &Cluster, since: Micros) -> Micros {
-    cluster.ledger.slowest(since, cluster.now())
+fn max_delivery_time(cluster: &Cluster, since: Micros) -> Micros {
+    cluster.ledger.max_delivery_time(since, cluster.now())
 }
 
-fn lost(loss: f64) -> Way {
+fn with_loss(loss: f64) -> Way {
     Way { loss, ..Way::default() }
 }
 
 #[test]
-fn the_planned_load_is_everywhere_in_time_at_five_in_a_hundred_lost() {
+fn planned_load_meets_its_bounds_at_five_percent_loss() {
     for nodes in [66, NODES] {
         let outcome = run(&Load { seconds: 10, state_every_s: 4, ..Load::planned(nodes, 0.05, 1) });
-        assert_eq!((outcome.faults, outcome.lost, outcome.resets, outcome.false_words), (0, 0, 0, 0));
+        assert_eq!(
+            (outcome.faults, outcome.lost, outcome.resets, outcome.false_acknowledgements),
+            (0, 0, 0, 0)
+        );
         assert!(outcome.log_largest_s <= seconds(BOUND), "{outcome:?}");
         assert!(outcome.state_largest_s <= seconds(STATE_BOUND), "{outcome:?}");
         assert!(outcome.peak_1s <= f64::from(BUDGET), "{outcome:?}");
@@ -107,89 +110,90 @@
 }
 
 #[test]
-fn a_fifth_lost_duplicates_and_reorder_leave_nothing_out() {
-    let way = Way { loss: 0.2, duplicate: 0.1, reorder: 0.2, ..Way::default() };
-    let mut cluster = cluster(2, way);
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
-    flow.run(&mut cluster, 8);
-    assert!(flow.finish(&mut cluster, 15 * SECOND).is_some());
-    holds(&cluster);
-    none_left_out(&cluster, &flow);
+fn loss_duplication_and_reordering_skip_no_entries() {
+    let link = Way { loss: 0.2, duplicate: 0.1, reorder: 0.2, ..Way::default() };
+    let mut cluster = cluster(2, link);
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
+    writer.run(&mut cluster, 8);
+    assert!(writer.wait_until_delivered(&mut cluster, 15 * SECOND).is_some());
+    assert_guarantees(&cluster);
+    assert_complete(&cluster, &writer);
 }
 
 #[test]
-fn a_relay_that_is_killed_holds_nothing_back() {
+fn killed_relay_does_not_delay_entries() {
     let mut cluster = cluster(3, Way::default());
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
-    flow.run(&mut cluster, 2);
+    writer.run(&mut cluster, 2);
     cluster.kill(relay);
-    flow.run(&mut cluster, 8);
-    assert!(flow.finish(&mut cluster, 5 * SECOND).is_some());
-    holds(&cluster);
-    none_left_out(&cluster, &flow);
-    assert!(slowest(&cluster, 0) <= BOUND, "{}", slowest(&cluster, 0));
+    writer.run(&mut cluster, 8);
+    assert!(writer.wait_until_delivered(&mut cluster, 5 * SECOND).is_some());
+    assert_guarantees(&cluster);
+    assert_complete(&cluster, &writer);
+    assert!(max_delivery_time(&cluster, 0) <= BOUND, "{}", max_delivery_time(&cluster, 0));
 }
 
 #[test]
-fn a_relay_that_stands_still_holds_nothing_back_and_is_named() {
+fn paused_relay_does_not_delay_entries_and_is_reported_as_lagging() {
     let mut cluster = cluster(4, Way::default());
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
     cluster.ledger.exempt.insert(relay);
-    flow.run(&mut cluster, 2);
+    writer.run(&mut cluster, 2);
     let paused_at = cluster.now();
     cluster.pause(relay);
     // Others lose sight of it after 4.8 s: those that don't are told that it lacks what was published meanwhile.
-    flow.run(&mut cluster, 10);
+    writer.run(&mut cluster, 10);
     cluster.resume(relay);
-    flow.run(&mut cluster, 3);
-    assert!(flow.finish(&mut cluster, 15 * SECOND).is_some());
+    writer.run(&mut cluster, 3);
+    assert!(writer.wait_until_delivered(&mut cluster, 15 * SECOND).is_some());
     cluster.run(10 * SECOND);
-    holds(&cluster);
-    none_left_out(&cluster, &flow);
-    assert!(slowest(&cluster, 0) <= BOUND, "{}", slowest(&cluster, 0));
+    assert_guarantees(&cluster);
+    assert_complete(&cluster, &writer);
+    assert!(max_delivery_time(&cluster, 0) <= BOUND, "{}", max_delivery_time(&cluster, 0));
     let key = cluster.key(relay);
-    for word in cluster.words.iter().filter(|word| word.at > paused_at) {
-        if let DisseminationOutput::Unacknowledged { lagging, .. } = &word.output {
-            assert!(lagging.iter().all(|lagging| *lagging == key), "{word:?}");
+    for event in cluster.publisher_events.iter().filter(|event| event.at > paused_at) {
+        if let DisseminationOutput::Unacknowledged { lagging, .. } = &event.output {
+            assert!(lagging.iter().all(|lagging| *lagging == key), "{event:?}");
         }
     }
-    let acknowledged = |word: &&super::cluster::Word| {
-        matches!(word.output, DisseminationOutput::Acknowledged { channel: Channel::Log, .. })
+    let acknowledged = |event: &&super::cluster::PublisherEvent| {
+        matches!(event.output, DisseminationOutput::Acknowledged { channel: Channel::Log, .. })
     };
-    assert_eq!(cluster.words.iter().filter(acknowledged).count() as u64, flow.last());
+    assert_eq!(cluster.publisher_events.iter().filter(acknowledged).count() as u64, writer.last());
 }
 
 #[test]
-fn a_relay_that_is_slow_holds_nothing_back() {
+fn slow_relay_does_not_delay_entries() {
     let mut cluster = cluster(5, Way::default());
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
-    flow.run(&mut cluster, 2);
-    cluster.slow(relay, SECOND);
-    flow.run(&mut cluster, 8);
-    assert!(flow.finish(&mut cluster, 10 * SECOND).is_some());
-    holds(&cluster);
-    none_left_out(&cluster, &flow);
-    assert!(slowest(&cluster, 0) <= BOUND, "{}", slowest(&cluster, 0));
+    writer.run(&mut cluster, 2);
+    cluster.set_extra_delay(relay, SECOND);
+    writer.run(&mut cluster, 8);
+    assert!(writer.wait_until_delivered(&mut cluster, 10 * SECOND).is_some());
+    assert_guarantees(&cluster);
+    assert_complete(&cluster, &writer);
+    assert!(max_delivery_time(&cluster, 0) <= BOUND, "{}", max_delivery_time(&cluster, 0));
 }
 
-/// What the publisher is told of an entry when one node's datagrams come a minute late, which is seen as present.
-fn named_when_cut_off(seed: u64, rank: usize) {
+/// Delays the datagrams of one node by a minute while it is still seen as present, and checks that the publisher is notified
+/// of this node as the only lagging one.
+fn assert_only_delayed_node_lags(seed: u64, rank: usize) {
     let mut cluster = cluster(seed, Way::default());
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
-    flow.run(&mut cluster, 1);
-    let cut_off = cluster.relays(PUBLISHER)[rank];
-    cluster.slow(cut_off, 60 * SECOND);
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
+    writer.run(&mut cluster, 1);
+    let delayed = cluster.relays(PUBLISHER)[rank];
+    cluster.set_extra_delay(delayed, 60 * SECOND);
     cluster.run(SECOND);
-    flow.publish(&mut cluster);
+    writer.publish(&mut cluster);
     cluster.run(9 * SECOND);
-    let last = flow.last();
-    let named: Vec<_> = cluster
-        .words
+    let last = writer.last();
+    let reports: Vec<_> = cluster
+        .publisher_events
         .iter()
-        .filter_map(|word| match &word.output {
+        .filter_map(|event| match &event.output {
             DisseminationOutput::Unacknowledged { sequence, nodes, lagging, unlisted, .. }
                 if *sequence == last =>
             {
@@ -198,144 +202,146 @@
             _ => None,
         })
         .collect();
-    assert_eq!(named, [(NODES as u32 - 1, vec![cluster.key(cut_off)], 0)]);
-    assert_eq!(cluster.false_words, []);
+    assert_eq!(reports, [(NODES as u32 - 1, vec![cluster.key(delayed)], 0)]);
+    assert_eq!(cluster.false_acknowledgements, []);
 }
 
 #[test]
-fn a_node_that_lacks_an_entry_is_named_and_nobody_else() {
-    named_when_cut_off(6, NODES - 2);
+fn only_the_leaf_that_lacks_an_entry_is_reported_as_lagging() {
+    assert_only_delayed_node_lags(6, NODES - 2);
 }
 
 #[test]
-fn a_relay_that_lacks_an_entry_is_named_and_nobody_below_it() {
-    named_when_cut_off(16, 0);
+fn relay_that_lacks_an_entry_is_reported_as_lagging_without_its_subtree() {
+    assert_only_delayed_node_lags(16, 0);
 }
 
 #[test]
-fn after_a_zone_is_lost_the_bounds_hold_again_within_five_seconds() {
+fn bounds_hold_again_within_five_seconds_of_the_loss_of_a_zone() {
     let mut cluster = cluster(7, Way::default());
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
     let topology = cluster.topology();
-    flow.run(&mut cluster, 2);
+    writer.run(&mut cluster, 2);
     for node in (0..NODES).filter(|&node| topology.zone(node) == topology.zone(relay)) {
         cluster.kill(node);
     }
     let lost_at = cluster.now();
-    flow.run(&mut cluster, 10);
-    assert!(flow.finish(&mut cluster, 10 * SECOND).is_some());
-    holds(&cluster);
-    none_left_out(&cluster, &flow);
-    let after = slowest(&cluster, lost_at + 5 * SECOND);
+    writer.run(&mut cluster, 10);
+    assert!(writer.wait_until_delivered(&mut cluster, 10 * SECOND).is_some());
+    assert_guarantees(&cluster);
+    assert_complete(&cluster, &writer);
+    let after = max_delivery_time(&cluster, lost_at + 5 * SECOND);
     assert!(after <= BOUND, "{after}");
 }
 
 #[test]
-fn a_region_cut_off_for_three_minutes_replays_what_both_sides_published() {
+fn region_isolated_for_three_minutes_receives_what_both_sides_published() {
     let mut cluster = cluster(8, Way::default());
     let topology = cluster.topology();
     let inside = topology.region(PUBLISHER);
     let outsider = (0..NODES).find(|&node| topology.region(node) != inside).unwrap();
-    let mut here = Flow::new(&mut cluster, PUBLISHER);
-    let mut there = Flow::new(&mut cluster, outsider);
-    here.run(&mut cluster, 1);
-    there.run(&mut cluster, 1);
-    cluster.cut(|node| u32::from(topology.region(node) == inside));
+    let mut inside_writer = LogWriter::new(&mut cluster, PUBLISHER);
+    let mut outside_writer = LogWriter::new(&mut cluster, outsider);
+    inside_writer.run(&mut cluster, 1);
+    outside_writer.run(&mut cluster, 1);
+    cluster.partition(|node| u32::from(topology.region(node) == inside));
     for _ in 0..6 * 180 {
-        here.publish(&mut cluster);
-        there.publish(&mut cluster);
+        inside_writer.publish(&mut cluster);
+        outside_writer.publish(&mut cluster);
         cluster.run(SECOND / 6);
     }
     cluster.heal();
-    let (keys, lasts) = ((cluster.key(PUBLISHER), cluster.key(outsider)), (here.last(), there.last()));
+    let (keys, lasts) =
+        ((cluster.key(PUBLISHER), cluster.key(outsider)), (inside_writer.last(), outside_writer.last()));
     let took = cluster.run_until(200 * SECOND, |cluster| {
-        cluster.all_have(keys.0, lasts.0) && cluster.all_have(keys.1, lasts.1)
+        cluster.all_delivered(keys.0, lasts.0) && cluster.all_delivered(keys.1, lasts.1)
     });
-    println!("replayed after {:?} s; {:?}", took.map(seconds), cluster.counters());
+    println!("caught up after {:?} s; {:?}", took.map(seconds), cluster.counters());
     assert!(took.is_some());
-    holds(&cluster);
-    none_left_out(&cluster, &here);
-    none_left_out(&cluster, &there);
+    assert_guarantees(&cluster);
+    assert_complete(&cluster, &inside_writer);
+    assert_complete(&cluster, &outside_writer);
     assert!(!cluster.stale.is_empty());
 }
 
 #[test]
-fn all_are_restarted_in_turn_while_entries_flow() {
+fn rolling_restart_while_entries_are_published_delivers_all_entries_in_order() {
     let mut cluster = cluster(9, Way::default());
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
-    flow.run(&mut cluster, 1);
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
+    writer.run(&mut cluster, 1);
     let others: Vec<usize> = (0..NODES).filter(|&node| node != PUBLISHER).collect();
     for some in others.chunks(53) {
         some.iter().for_each(|&node| cluster.leave(node));
-        flow.run(&mut cluster, 1);
+        writer.run(&mut cluster, 1);
         some.iter().for_each(|&node| cluster.start(node));
-        flow.run(&mut cluster, 1);
+        writer.run(&mut cluster, 1);
     }
-    flow.run(&mut cluster, 2);
-    let took = flow.finish(&mut cluster, 15 * SECOND);
+    writer.run(&mut cluster, 2);
+    let took = writer.wait_until_delivered(&mut cluster, 15 * SECOND);
     assert!(took.is_some());
-    holds(&cluster);
-    // Each was told once where its new life begins, and got all from there on in order.
+    assert_guarantees(&cluster);
+    // Each node was notified once where its new incarnation begins, and received everything after that in order.
     let key = cluster.key(PUBLISHER);
     for &node in &others {
         let subscriber = cluster.subscriber(node, key);
         let resets = cluster.ledger.resets.iter().filter(|reset| reset.subscriber == subscriber);
         assert_eq!(resets.count(), 1, "node {node}");
-        assert_eq!(cluster.ledger.last(subscriber), flow.last(), "node {node}");
+        assert_eq!(cluster.ledger.last(subscriber), writer.last(), "node {node}");
     }
 }
 
 #[test]
-fn a_node_that_joins_in_the_middle_is_told_where_it_begins() {
+fn node_that_joins_late_is_notified_where_its_log_begins() {
     let mut cluster = Cluster::new(Topology::default(), NODES, 10);
-    cluster.way = lost(0.05);
+    cluster.link = with_loss(0.05);
     cluster.start_all();
     let late = NODES - 1;
     cluster.kill(late);
     cluster.run(6 * SECOND);
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     cluster.publish_state(PUBLISHER, 800).unwrap();
-    flow.run(&mut cluster, 4);
-    let before = flow.last();
+    writer.run(&mut cluster, 4);
+    let before = writer.last();
     cluster.start(late);
-    flow.run(&mut cluster, 4);
-    assert!(flow.finish(&mut cluster, 5 * SECOND).is_some());
-    holds(&cluster);
+    writer.run(&mut cluster, 4);
+    assert!(writer.wait_until_delivered(&mut cluster, 5 * SECOND).is_some());
+    assert_guarantees(&cluster);
     let key = cluster.key(PUBLISHER);
     let subscriber = cluster.subscriber(late, key);
     let resets: Vec<_> =
         cluster.ledger.resets.iter().filter(|reset| reset.subscriber == subscriber).collect();
     assert_eq!(resets.len(), 1);
     assert!(resets[0].through + 12 >= before, "{resets:?}");
-    assert_eq!(cluster.ledger.last(subscriber), flow.last());
-    assert!(cluster.all_in_force(key, 1, 1));
+    assert_eq!(cluster.ledger.last(subscriber), writer.last());
+    assert!(cluster.all_applied(key, 1, 1));
 }
 
 #[test]
-fn a_publisher_that_restarts_goes_on_under_a_higher_epoch() {
-    let mut cluster = cluster(11, lost(0.05));
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
-    flow.run(&mut cluster, 3);
-    // The last entries are known to nobody but its record.
-    cluster.way.silent = true;
-    flow.run(&mut cluster, 1);
+fn restarted_publisher_continues_under_a_higher_epoch() {
+    let mut cluster = cluster(11, with_loss(0.05));
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
+    writer.run(&mut cluster, 3);
+    // No other node receives the last entries; only the publisher's record has them.
+    cluster.link.silent = true;
+    writer.run(&mut cluster, 1);
     cluster.kill(PUBLISHER);
-    cluster.way.silent = false;
+    cluster.link.silent = false;
     cluster.run(SECOND);
     cluster.start(PUBLISHER);
     cluster.run(SECOND);
-    let record = (1..flow.next).map(|sequence| cluster.entry(PUBLISHER, 1, sequence, BYTES)).collect();
+    let record =
+        (1..writer.next).map(|sequence| cluster.entry(PUBLISHER, 1, sequence, ENTRY_BYTES)).collect();
     assert_eq!(
-        cluster.open(PUBLISHER, 1, flow.next, Vec::new()),
+        cluster.open(PUBLISHER, 1, writer.next, Vec::new()),
         Err(PublishError::Fenced { current_epoch: 1 })
     );
-    cluster.open(PUBLISHER, 2, flow.next, record).unwrap();
-    flow.epoch = 2;
-    flow.run(&mut cluster, 3);
-    assert!(flow.finish(&mut cluster, 8 * SECOND).is_some());
+    cluster.open(PUBLISHER, 2, writer.next, record).unwrap();
+    writer.epoch = 2;
+    writer.run(&mut cluster, 3);
+    assert!(writer.wait_until_delivered(&mut cluster, 8 * SECOND).is_some());
     cluster.run(5 * SECOND);
-    holds(&cluster);
+    assert_guarantees(&cluster);
     let key = cluster.key(PUBLISHER);
     for node in (0..NODES).filter(|&node| node != PUBLISHER) {
         assert_eq!(cluster.ledger.count(cluster.subscriber(node, key), 1), 24, "node {node}");
@@ -344,52 +350,53 @@
 }
 
 #[test]
-fn an_old_epochs_publisher_that_wakes_is_ignored_and_told() {
+fn resumed_publisher_of_an_old_epoch_is_ignored_and_fenced() {
     let spare = NODES - 1;
     let mut cluster = Cluster::new(Topology::default(), NODES, 12);
     cluster.start_all();
     cluster.kill(spare);
     cluster.run(6 * SECOND);
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
-    flow.run(&mut cluster, 2);
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
+    writer.run(&mut cluster, 2);
     cluster.run(2 * SECOND);
     cluster.pause(PUBLISHER);
     cluster.run(6 * SECOND);
-    cluster.start_in_place_of(spare, PUBLISHER);
+    cluster.start_as_replacement(spare, PUBLISHER);
     cluster.run(2 * SECOND);
-    let mut next = Flow { publisher: spare, epoch: 2, next: flow.next };
-    let record = (1..flow.next).map(|sequence| cluster.entry(PUBLISHER, 1, sequence, BYTES)).collect();
-    cluster.open(spare, 2, next.next, record).unwrap();
-    next.run(&mut cluster, 2);
-    cluster.resume_unseen(PUBLISHER);
-    // What it issues before it hears of the other one reaches nobody, also where the other one has not got so far yet.
-    (0..40).for_each(|_| flow.publish(&mut cluster));
-    assert!(flow.last() > next.last());
-    next.run(&mut cluster, 3);
-    assert!(next.finish(&mut cluster, 5 * SECOND).is_some());
+    let mut replacement = LogWriter { publisher: spare, epoch: 2, next: writer.next };
+    let record =
+        (1..writer.next).map(|sequence| cluster.entry(PUBLISHER, 1, sequence, ENTRY_BYTES)).collect();
+    cluster.open(spare, 2, replacement.next, record).unwrap();
+    replacement.run(&mut cluster, 2);
+    cluster.resume_replaced(PUBLISHER);
+    // Entries that it publishes before it learns of its replacement reach no node, even those with higher sequence numbers
+    // than the replacement has published so far.
+    (0..40).for_each(|_| writer.publish(&mut cluster));
+    assert!(writer.last() > replacement.last());
+    replacement.run(&mut cluster, 3);
+    assert!(replacement.wait_until_delivered(&mut cluster, 5 * SECOND).is_some());
     assert_eq!(cluster.ledger.faults, []);
-    assert!(cluster
-        .words
-        .iter()
-        .any(|word| { word.node == PUBLISHER && word.output == DisseminationOutput::Fenced { epoch: 2 } }));
+    assert!(cluster.publisher_events.iter().any(|event| {
+        event.node == PUBLISHER && event.output == DisseminationOutput::Fenced { epoch: 2 }
+    }));
     assert!(matches!(
-        cluster.publish(PUBLISHER, 1, 99, BYTES),
+        cluster.publish(PUBLISHER, 1, 99, ENTRY_BYTES),
         Err(PublishError::Fenced { current_epoch: 2 })
     ));
     let key = cluster.key(PUBLISHER);
     for node in (0..NODES).filter(|&node| node != PUBLISHER && node != spare) {
         assert_eq!(cluster.ledger.count(cluster.subscriber(node, key), 1), 12, "node {node}");
-        assert_eq!(cluster.ledger.last(cluster.subscriber(node, key)), next.last(), "node {node}");
+        assert_eq!(cluster.ledger.last(cluster.subscriber(node, key)), replacement.last(), "node {node}");
     }
 }
 
 #[test]
-fn what_cannot_be_read_is_dropped_and_counted() {
+fn invalid_datagrams_are_dropped_and_counted() {
     let mut cluster = cluster(13, Way::default());
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
-    flow.run(&mut cluster, 1);
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
+    writer.run(&mut cluster, 1);
     let own = hash_name("walkpick") as u32;
-    let entry = cluster.entry(PUBLISHER, 1, 3, BYTES);
+    let entry = cluster.entry(PUBLISHER, 1, 3, ENTRY_BYTES);
     let entries = |payload: usize| Message::Entries {
         publisher: cluster.key(PUBLISHER),
         epoch: 1,
@@ -397,11 +404,11 @@
         entries: vec![walkpick::peers::dissemination::Entry { payload: vec![1; payload], ..entry.clone() }],
         states: Vec::new(),
     };
-    let good = encode(own, &entries(BYTES));
-    let foreign = encode(own + 1, &entries(BYTES));
+    let good = encode(own, &entries(ENTRY_BYTES));
+    let foreign = encode(own + 1, &entries(ENTRY_BYTES));
     let oversized_entry = encode(own, &entries(1_060));
-    let mut later = good.clone();
-    later[0] = 9;
+    let mut later_schema = good.clone();
+    later_schema[0] = 9;
     let mut random = fastrand::Rng::with_seed(13);
     for node in 0..NODES {
         let from = address(random.usize(0..NODES));
@@ -410,41 +417,41 @@
         cluster.inject(from, node, vec![0; 1_400]);
         cluster.inject(from, node, foreign.clone());
         cluster.inject(from, node, oversized_entry.clone());
-        cluster.inject(from, node, later.clone());
+        cluster.inject(from, node, later_schema.clone());
     }
     let counters = cluster.counters();
     assert!(counters.malformed >= NODES as u64, "{counters:?}");
     assert_eq!(counters.oversized, 2 * NODES as u64);
     assert!(counters.foreign >= NODES as u64 && counters.later_schema >= NODES as u64, "{counters:?}");
-    flow.run(&mut cluster, 2);
-    assert!(flow.finish(&mut cluster, 3 * SECOND).is_some());
-    none_left_out(&cluster, &flow);
+    writer.run(&mut cluster, 2);
+    assert!(writer.wait_until_delivered(&mut cluster, 3 * SECOND).is_some());
+    assert_complete(&cluster, &writer);
     assert_eq!(cluster.ledger.faults, []);
 }
 
 #[test]
-fn sixty_purges_a_second_for_ten_seconds_are_late_and_whole() {
+fn sixty_purges_per_second_for_ten_seconds_are_delivered_late_but_completely() {
     let mut cluster = cluster(14, Way::default());
-    let mut flow = Flow::new(&mut cluster, PUBLISHER);
-    flow.run_at(&mut cluster, 60, 10);
-    let took = flow.finish(&mut cluster, 60 * SECOND);
+    let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
+    writer.run_at(&mut cluster, 60, 10);
+    let took = writer.wait_until_delivered(&mut cluster, 60 * SECOND);
     assert!(took.is_some());
-    holds(&cluster);
-    none_left_out(&cluster, &flow);
-    // Behind it, the bounds hold again.
+    assert_guarantees(&cluster);
+    assert_complete(&cluster, &writer);
+    // After the burst, the bounds hold again.
     let after = cluster.now();
-    flow.run(&mut cluster, 4);
-    assert!(flow.finish(&mut cluster, 5 * SECOND).is_some());
-    assert!(slowest(&cluster, after) <= BOUND, "{}", slowest(&cluster, after));
+    writer.run(&mut cluster, 4);
+    assert!(writer.wait_until_delivered(&mut cluster, 5 * SECOND).is_some());
+    assert!(max_delivery_time(&cluster, after) <= BOUND, "{}", max_delivery_time(&cluster, after));
 }
 
 #[test]
-fn a_refused_state_leaves_the_last_good_one_in_force_and_is_named() {
-    let mut cluster = cluster(15, lost(0.05));
+fn refused_state_leaves_the_previous_version_applied_and_is_reported() {
+    let mut cluster = cluster(15, with_loss(0.05));
     cluster.open(PUBLISHER, 1, 1, Vec::new()).unwrap();
     let key = cluster.key(PUBLISHER);
     cluster.publish_state(PUBLISHER, 1_000).unwrap();
-    assert!(cluster.run_until(STATE_BOUND, |cluster| cluster.all_in_force(key, 1, 1)).is_some());
+    assert!(cluster.run_until(STATE_BOUND, |cluster| cluster.all_applied(key, 1, 1)).is_some());
     cluster.run(4 * SECOND);
     let refusing = 77;
     cluster.refusing.push(refusing);
@@ -457,9 +464,9 @@
         assert_eq!(version, Some(if node == refusing { 1 } else { 2 }), "node {node}");
     }
     let refused: Vec<_> = cluster
-        .words
+        .publisher_events
         .iter()
-        .filter_map(|word| match &word.output {
+        .filter_map(|event| match &event.output {
             DisseminationOutput::StateRefused { refusal, .. } => {
                 Some((refusal.key, refusal.version, refusal.reason.clone()))
             }
@@ -467,21 +474,21 @@
         })
         .collect();
     assert_eq!(refused, [(cluster.key(refusing), 2, "node 77 does not take it".to_owned())]);
-    let all = |version: u64| {
-        cluster.words.iter().any(|word| {
-            matches!(word.output, DisseminationOutput::Acknowledged { channel: Channel::State(_), sequence, .. }
+    let acknowledged_by_all = |version: u64| {
+        cluster.publisher_events.iter().any(|event| {
+            matches!(event.output, DisseminationOutput::Acknowledged { channel: Channel::State(_), sequence, .. }
                 if sequence == version)
         })
     };
-    assert!(all(1) && !all(2));
-    assert!(cluster.in_force.iter().all(|told| told.whole));
-    holds(&cluster);
+    assert!(acknowledged_by_all(1) && !acknowledged_by_all(2));
+    assert!(cluster.applied_states.iter().all(|applied| applied.intact));
+    assert_guarantees(&cluster);
 }
 
 #[test]
-fn the_planned_load_holds_its_bounds_over_real_membership() {
+fn planned_load_meets_its_bounds_over_real_membership() {
     let outcome = super::joint::run(&Load { seconds: 10, state_every_s: 4, ..Load::planned(66, 0.05, 1) });
-    assert_eq!((outcome.faults, outcome.lost, outcome.resets, outcome.false_words), (0, 0, 0, 0));
+    assert_eq!((outcome.faults, outcome.lost, outcome.resets, outcome.false_acknowledgements), (0, 0, 0, 0));
     assert!(outcome.log_largest_s <= seconds(BOUND), "{outcome:?}");
     assert!(outcome.state_largest_s <= seconds(STATE_BOUND), "{outcome:?}");
     assert!(outcome.peak_1s <= f64::from(BUDGET), "{outcome:?}");
@@ -489,14 +496,14 @@
 }
 
 #[test]
-fn the_engines_own_broadcasts_reach_all_out_of_order() {
+fn library_broadcasts_reach_all_nodes_out_of_order() {
     let outcome = super::baseline::run(&Load { seconds: 10, ..Load::planned(66, 0.05, 1) });
-    assert_eq!(outcome.never, 0);
+    assert_eq!(outcome.incomplete, 0);
     assert!(outcome.out_of_order > 0);
 }
 
 #[test]
-fn outcomes_are_written_as_series_by_loss() {
+fn outcomes_are_written_as_separate_series_by_loss() {
     let loads = [0.0, 0.05].map(|loss| Load { seconds: 1, ..Load::planned(4, loss, 1) });
     let outcomes = super::figures::run_all(&loads, super::figures::Membership::StandIn, 2, || {});
     let series = super::figures::series(&outcomes, "a command");
--- a/lab/src/scale/dissemination.rs
+++ b/lab/src/scale/dissemination.rs
@@ -124,7 +124,7 @@
         label: format!("{} nodes, loss {}", load.nodes, load.loss),
         group: group(load.loss),
         seed: load.seed,
-        figures: FIGURES.iter().map(|figure| (figure.name, (figure.of)(outcome))).collect(),
+        figures: FIGURES.iter().map(|figure| (figure.name, (figure.value)(outcome))).collect(),
         void: None,
     }
 }
