--- a/lab/src/dissemination/cluster.rs
+++ b/lab/src/dissemination/cluster.rs
@@ -5,7 +5,7 @@
 use super::topology::{address, node_index, Topology};
 use super::traffic::Traffic;
 use crate::draw::{self, Stream};
-use crate::model::links::Way;
+use crate::model::links::Impairment;
 use crate::model::{Micros, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -99,8 +99,8 @@
     scheduled: u64,
     queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     nodes: Vec<Node>,
-    /// Conditions of every link.
-    pub link: Way,
+    /// Impairments of every link.
+    pub impairment: Impairment,
     /// Record of published and delivered entries.
     pub ledger: Ledger,
     /// Bytes sent by each node over time.
@@ -145,7 +145,7 @@
             scheduled: 0,
             queue: BinaryHeap::new(),
             nodes: (0..nodes).map(stopped).collect(),
-            link: Way::default(),
+            impairment: Impairment::default(),
             ledger: Ledger::default(),
             traffic: Traffic::new(nodes),
             publisher_events: Vec::new(),
@@ -241,7 +241,11 @@
         state.identity += 1;
         (state.paused, state.timers_at, state.started_at) = (None, None, now);
         state.budget = ByteBudget::new(RATE, BUCKET_DEPTH, now);
-        let draw = draw::unit(self.seed, Stream::Lists, (node as u64) << 32 | u64::from(state.incarnation));
+        let draw = draw::unit(
+            self.seed,
+            Stream::DiscoveryUpdates,
+            (node as u64) << 32 | u64::from(state.incarnation),
+        );
         let member = self.member(node);
         self.nodes[node].core = Some(Dissemination::new(self.config.clone(), member, draw.to_bits(), now));
         self.schedule_timers(node);
@@ -624,16 +628,16 @@
         if between_regions {
             self.bytes_between_regions += bytes as u64;
         }
-        let blocked = self.nodes[node].partition != self.nodes[to].partition || self.link.silent;
-        if blocked || self.random.random::<f64>() < self.link.loss {
+        let blocked = self.nodes[node].partition != self.nodes[to].partition || self.impairment.silent;
+        if blocked || self.random.random::<f64>() < self.impairment.loss {
             return;
         }
         let data = Rc::new(data);
-        let copies = 1 + u32::from(self.random.random::<f64>() < self.link.duplicate);
+        let copies = 1 + u32::from(self.random.random::<f64>() < self.impairment.duplicate);
         for _ in 0..copies {
             let latency = self.topology.latency(self.seed, node, to, &mut self.random);
             let reorder_delay =
-                if self.random.random::<f64>() < self.link.reorder { REORDER_DELAY } else { 0 };
+                if self.random.random::<f64>() < self.impairment.reorder { REORDER_DELAY } else { 0 };
             let extra_delay = self.nodes[node].extra_delay + self.nodes[to].extra_delay;
             let event = Event::Datagram { from: address(node), to, data: Rc::clone(&data) };
             self.schedule(self.now + latency + reorder_delay + extra_delay, event);
--- a/lab/src/dissemination/tests.rs
+++ b/lab/src/dissemination/tests.rs
@@ -3,7 +3,7 @@
 use super::cluster::{Cluster, BUDGET};
 use super::scenario::{run, seconds, Load};
 use super::topology::{address, Topology};
-use crate::model::links::Way;
+use crate::model::links::Impairment;
 use crate::model::{Micros, SECOND};
 use walkpick::peers::dissemination::message::{encode, Message};
 use walkpick::peers::dissemination::{hash_name, Channel, DisseminationOutput, PublishError};
@@ -59,9 +59,9 @@
     }
 }
 
-fn cluster(seed: u64, link: Way) -> Cluster {
+fn cluster(seed: u64, impairment: Impairment) -> Cluster {
     let mut cluster = Cluster::new(Topology::default(), NODES, seed);
-    cluster.link = link;
+    cluster.impairment = impairment;
     cluster.start_all();
     cluster.run(3 * SECOND);
     cluster
@@ -90,8 +90,8 @@
     cluster.ledger.max_delivery_time(since, cluster.now())
 }
 
-fn with_loss(loss: f64) -> Way {
-    Way { loss, ..Way::default() }
+fn with_loss(loss: f64) -> Impairment {
+    Impairment { loss, ..Impairment::default() }
 }
 
 #[test]
@@ -111,8 +111,8 @@
 
 #[test]
 fn loss_duplication_and_reordering_skip_no_entries() {
-    let link = Way { loss: 0.2, duplicate: 0.1, reorder: 0.2, ..Way::default() };
-    let mut cluster = cluster(2, link);
+    let impairment = Impairment { loss: 0.2, duplicate: 0.1, reorder: 0.2, ..Impairment::default() };
+    let mut cluster = cluster(2, impairment);
     let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     writer.run(&mut cluster, 8);
     assert!(writer.wait_until_delivered(&mut cluster, 15 * SECOND).is_some());
@@ -122,7 +122,7 @@
 
 #[test]
 fn killed_relay_does_not_delay_entries() {
-    let mut cluster = cluster(3, Way::default());
+    let mut cluster = cluster(3, Impairment::default());
     let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
     writer.run(&mut cluster, 2);
@@ -136,7 +136,7 @@
 
 #[test]
 fn paused_relay_does_not_delay_entries_and_is_reported_as_lagging() {
-    let mut cluster = cluster(4, Way::default());
+    let mut cluster = cluster(4, Impairment::default());
     let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
     cluster.ledger.exempt.insert(relay);
@@ -166,7 +166,7 @@
 
 #[test]
 fn slow_relay_does_not_delay_entries() {
-    let mut cluster = cluster(5, Way::default());
+    let mut cluster = cluster(5, Impairment::default());
     let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
     writer.run(&mut cluster, 2);
@@ -181,7 +181,7 @@
 /// Delays the datagrams of one node by a minute while it is still seen as present, and checks that the publisher is notified
 /// of this node as the only lagging one.
 fn assert_only_delayed_node_lags(seed: u64, rank: usize) {
-    let mut cluster = cluster(seed, Way::default());
+    let mut cluster = cluster(seed, Impairment::default());
     let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     writer.run(&mut cluster, 1);
     let delayed = cluster.relays(PUBLISHER)[rank];
@@ -218,7 +218,7 @@
 
 #[test]
 fn bounds_hold_again_within_five_seconds_of_the_loss_of_a_zone() {
-    let mut cluster = cluster(7, Way::default());
+    let mut cluster = cluster(7, Impairment::default());
     let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     let relay = cluster.relays(PUBLISHER)[0];
     let topology = cluster.topology();
@@ -237,7 +237,7 @@
 
 #[test]
 fn region_isolated_for_three_minutes_receives_what_both_sides_published() {
-    let mut cluster = cluster(8, Way::default());
+    let mut cluster = cluster(8, Impairment::default());
     let topology = cluster.topology();
     let inside = topology.region(PUBLISHER);
     let outsider = (0..NODES).find(|&node| topology.region(node) != inside).unwrap();
@@ -267,7 +267,7 @@
 
 #[test]
 fn rolling_restart_while_entries_are_published_delivers_all_entries_in_order() {
-    let mut cluster = cluster(9, Way::default());
+    let mut cluster = cluster(9, Impairment::default());
     let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     writer.run(&mut cluster, 1);
     let others: Vec<usize> = (0..NODES).filter(|&node| node != PUBLISHER).collect();
@@ -294,7 +294,7 @@
 #[test]
 fn node_that_joins_late_is_notified_where_its_log_begins() {
     let mut cluster = Cluster::new(Topology::default(), NODES, 10);
-    cluster.link = with_loss(0.05);
+    cluster.impairment = with_loss(0.05);
     cluster.start_all();
     let late = NODES - 1;
     cluster.kill(late);
@@ -323,10 +323,10 @@
     let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     writer.run(&mut cluster, 3);
     // No other node receives the last entries; only the publisher's record has them.
-    cluster.link.silent = true;
+    cluster.impairment.silent = true;
     writer.run(&mut cluster, 1);
     cluster.kill(PUBLISHER);
-    cluster.link.silent = false;
+    cluster.impairment.silent = false;
     cluster.run(SECOND);
     cluster.start(PUBLISHER);
     cluster.run(SECOND);
@@ -392,7 +392,7 @@
 
 #[test]
 fn invalid_datagrams_are_dropped_and_counted() {
-    let mut cluster = cluster(13, Way::default());
+    let mut cluster = cluster(13, Impairment::default());
     let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     writer.run(&mut cluster, 1);
     let own = hash_name("walkpick") as u32;
@@ -431,7 +431,7 @@
 
 #[test]
 fn sixty_purges_per_second_for_ten_seconds_are_delivered_late_but_completely() {
-    let mut cluster = cluster(14, Way::default());
+    let mut cluster = cluster(14, Impairment::default());
     let mut writer = LogWriter::new(&mut cluster, PUBLISHER);
     writer.run_at(&mut cluster, 60, 10);
     let took = writer.wait_until_delivered(&mut cluster, 60 * SECOND);
