--- a/lab/src/commands/measure.rs
+++ b/lab/src/commands/measure.rs
@@ -1,6 +1,7 @@
-//! `walkpick-lab measure WHAT`: what grows with the fleet, as series for the capacity page.
+//! `walkpick-lab measure WHAT`: measures costs that grow with the fleet and writes them as series for the capacity
+//! page.
 
-use crate::measure::series::{Collect, Series};
+use crate::measure::series::{Series, SeriesExt};
 use crate::measure::{
     decisions, discovery, little_core, log, memory_child, relay, request_path, trials, MeasureError, Programs,
 };
@@ -12,65 +13,65 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What can be measured.
+/// The available measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum What {
-    /// Time and memory of the decisions, in process
+pub enum Measurement {
+    /// Time and memory of routing decisions, in process
     Decisions,
-    /// Lists, changes and resting watches, with a real node
+    /// Discovery lists, changes and idle watches, with a real node
     Discovery,
-    /// How long a node with little of a core takes to be ready, and what it serves
+    /// How long a node with a small share of a core takes to become ready, and how many requests it serves
     LittleCore,
-    /// What a node logs, in calm and in a loss
+    /// What a node logs, in normal operation and during failures
     Log,
-    /// What requests, connections and refusals cost a real node, beside a bare relay
+    /// Cost of requests, connections and refusals on a real node, compared with a bare relay
     RequestPath,
-    /// What all nodes ask of one server in trouble, in simulated time
+    /// Load that all nodes together put on one failing server, in simulated time
     Trials,
 }
 
 /// Arguments of `measure`.
 #[derive(Debug, Args)]
 pub struct MeasureArgs {
-    /// What to measure
-    what: What,
-    /// Write the series here, as JSON
+    /// The measurement to run
+    what: Measurement,
+    /// Write the series to this file, as JSON
     #[arg(long)]
     series: Option<PathBuf>,
-    /// Small sizes and few plays, to see that it works; its figures stand for nothing
+    /// Use small sizes and few runs, as a smoke test; the figures are not meaningful
     #[arg(long)]
     quick: bool,
-    /// The node's program; the one beside this program where it is not given
+    /// Path of the node's program; by default the one beside this program
     #[arg(long)]
     node: Option<PathBuf>,
 }
 
-/// Children that `measure` starts.
+/// Child processes that `measure` starts.
 #[derive(Debug, Subcommand)]
 pub enum Child {
-    /// Hold balancers, and say how many bytes each takes
+    /// Create balancers and print the number of bytes that each takes
     Memory {
-        /// Servers that each knows
+        /// Servers known to each balancer
         #[arg(long)]
         servers: usize,
-        /// Balancers
+        /// Number of balancers
         #[arg(long)]
         held: usize,
-        /// Requests that each meets
+        /// Requests handled by each balancer
         #[arg(long)]
         requests: u64,
-        /// The first one's seed
+        /// Seed of the first balancer
         #[arg(long)]
         seed: u64,
     },
-    /// Relay requests to these servers in turn
+    /// Relay requests to these servers, round robin
     Relay {
-        /// The servers
+        /// Addresses of the servers
         targets: Vec<SocketAddr>,
     },
 }
 
-/// Measures, prints a table, and writes the series where it is told to.
+/// Runs the measurement, prints a table and, if a file is given, writes the series to it.
 pub fn run(args: &MeasureArgs) -> Result<bool, Box<dyn Error>> {
     let mut all = measure(args)?;
     let command = command(args);
@@ -83,77 +84,77 @@
 }
 
 fn measure(args: &MeasureArgs) -> Result<Vec<Series>, MeasureError> {
-    let programs = Programs::beside(args.node.clone());
+    let programs = Programs::locate(args.node.clone());
     match args.what {
-        What::Decisions => {
-            let effort = match args.quick {
-                true => decisions::Effort { requests: 100, held_requests: 50, held: 20, seeds: 1 },
-                false => decisions::Effort::default(),
+        Measurement::Decisions => {
+            let params = match args.quick {
+                true => decisions::Params { requests: 100, memory_requests: 50, balancers: 20, seeds: 1 },
+                false => decisions::Params::default(),
             };
-            decisions::measure(&effort, &programs)
+            decisions::measure(&params, &programs)
         }
-        What::Discovery => {
-            let quick = || discovery::Effort {
+        Measurement::Discovery => {
+            let quick = || discovery::Params {
                 servers: vec![1, 2, 4, 8],
-                lists: 2,
-                rest: Duration::ZERO,
-                ..discovery::Effort::default()
+                repetitions: 2,
+                idle: Duration::ZERO,
+                ..discovery::Params::default()
             };
-            let effort = if args.quick { quick() } else { discovery::Effort::default() };
-            discovery::measure(&effort, &programs)
+            let params = if args.quick { quick() } else { discovery::Params::default() };
+            discovery::measure(&params, &programs)
         }
-        What::LittleCore => {
-            let quick = || little_core::Effort {
-                parts: vec![0.2, 0.3, 0.4, 0.5],
+        Measurement::LittleCore => {
+            let quick = || little_core::Params {
+                shares: vec![0.2, 0.3, 0.4, 0.5],
                 length: Duration::from_millis(200),
-                ..little_core::Effort::default()
+                ..little_core::Params::default()
             };
-            let effort = if args.quick { quick() } else { little_core::Effort::default() };
-            little_core::measure(&effort, &programs)
+            let params = if args.quick { quick() } else { little_core::Params::default() };
+            little_core::measure(&params, &programs)
         }
-        What::Log => {
-            let quick = || log::Effort {
+        Measurement::Log => {
+            let quick = || log::Params {
                 servers: 12,
                 servers_lost: vec![1, 2, 3, 4],
                 peers_lost: vec![1, 2, 3, 4],
-                peers_kept: 1,
+                peers_remaining: 1,
                 rate: 100.0,
                 rates: vec![60.0, 80.0, 100.0, 120.0],
                 settle: Duration::ZERO,
                 seconds: 3,
-                ..log::Effort::default()
+                ..log::Params::default()
             };
-            log::measure(&if args.quick { quick() } else { log::Effort::default() }, &programs)
+            log::measure(&if args.quick { quick() } else { log::Params::default() }, &programs)
         }
-        What::RequestPath => {
-            let quick = || request_path::Effort {
+        Measurement::RequestPath => {
+            let quick = || request_path::Params {
                 rates: vec![100.0, 150.0, 200.0, 250.0],
-                answers_rate: 200.0,
+                response_bytes_rate: 200.0,
                 refusals: vec![100.0, 150.0, 200.0, 250.0],
                 connections: vec![20, 40, 60, 80],
                 in_flight: vec![20, 40, 60, 80],
                 length: Duration::from_millis(100),
                 settle: Duration::from_millis(10),
                 seeds: 1,
-                ..request_path::Effort::default()
+                ..request_path::Params::default()
             };
-            let effort = if args.quick { quick() } else { request_path::Effort::default() };
-            request_path::measure(&effort, &programs)
+            let params = if args.quick { quick() } else { request_path::Params::default() };
+            request_path::measure(&params, &programs)
         }
-        What::Trials => {
-            let quick = || trials::Effort {
+        Measurement::Trials => {
+            let quick = || trials::Params {
                 nodes: vec![10, 20, 40, 80],
-                played: 10,
+                sampled: 10,
                 seeds: 1,
-                part: 0.05,
-                ..trials::Effort::default()
+                scale: 0.05,
+                ..trials::Params::default()
             };
-            Ok(trials::measure(&if args.quick { quick() } else { trials::Effort::default() }))
+            Ok(trials::measure(&if args.quick { quick() } else { trials::Params::default() }))
         }
     }
 }
 
-/// The command that makes the same series, without the place where they were written.
+/// The command that reproduces the series, without the output path.
 fn command(args: &MeasureArgs) -> String {
     let what = args.what.to_possible_value();
     let what = what.as_ref().map_or("", |what| what.get_name());
@@ -173,11 +174,14 @@
     Ok(())
 }
 
-/// What a child of `measure` does.
-pub fn child(child: &Child) -> Result<bool, Box<dyn Error>> {
+/// Runs a child process of `measure`.
+pub fn run_child(child: &Child) -> Result<bool, Box<dyn Error>> {
     match child {
         &Child::Memory { servers, held, requests, seed } => {
-            println!("{}", memory_child::answer(&memory_child::Asked { servers, held, requests, seed }));
+            println!(
+                "{}",
+                memory_child::measure(&memory_child::Params { servers, balancers: held, requests, seed })
+            );
             Ok(true)
         }
         Child::Relay { targets } => {
--- a/lab/src/commands/mod.rs
+++ b/lab/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the lab's program, each in a module of its own.
+//! The subcommands of the lab's program, one module each.
 
 pub mod capacity;
 pub mod dissemination;
@@ -8,12 +8,12 @@
 pub mod scale;
 pub mod slopes;
 
-/// A name that the command line gave and that is not known.
+/// A command line argument gave a name that is not known.
 #[derive(Debug, thiserror::Error)]
 #[error("found \"{found}\", expected one of {expected}")]
 pub struct UnknownName {
-    /// What was given.
+    /// The given name.
     pub found: String,
-    /// What may be given.
+    /// The accepted names.
     pub expected: String,
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -215,7 +215,7 @@
         Command::Hollow(args) => hollow::run(&args),
         Command::HollowProcess => hollow::run_process(),
         Command::Measure(args) => measure::run(&args),
-        Command::MeasureChild(child) => measure::child(&child),
+        Command::MeasureChild(child) => measure::run_child(&child),
         Command::Replay { file, how } => replay(&file, &how),
         Command::Init { file } => init(&file).map(|()| true),
         Command::List { folder } => list(&folder).map(|()| true),
--- a/lab/src/measure/decisions.rs
+++ b/lab/src/measure/decisions.rs
@@ -1,8 +1,9 @@
-//! What a decision costs, in time and memory, in one process: against servers, zones, tenants, classes and popular
-//! keys. Times stand beside those of a fixed loop in the same run, so that machines and loads can be compared.
+//! Time and memory that a decision costs, in process, against the number of servers, zones, tenants, classes and
+//! popular keys. Times are also given as a ratio to a fixed loop timed in the same run, so that results from
+//! different machines and under different load can be compared.
 
 use super::memory_child;
-use super::series::{Collect, Method, Series};
+use super::series::{Method, Series, SeriesExt};
 use super::{MeasureError, Programs};
 use crate::draw::{self, Stream};
 use std::hint::black_box;
@@ -12,63 +13,64 @@
     ServerId, ServerList, Settings, Status, Tenant, TenantId, Timestamp,
 };
 
-/// Servers of the plan, where another size is varied.
+/// Servers of the planned fleet, used where another size is varied.
 const PLAN_SERVERS: usize = 110;
-/// Zones of the plan.
+/// Zones of the planned fleet.
 const PLAN_ZONES: usize = 19;
-/// Nodes of the plan: the settings carry the number.
+/// Nodes of the planned fleet, passed in the settings.
 const PLAN_NODES: u32 = 530;
-/// Objects that requests ask for beside the popular ones.
-const KEYS: u64 = 10_000;
-/// Between two requests of a node, in microseconds: 755 a second, the plan's mean.
-const BETWEEN_US: u64 = 1_325;
-/// Requests of a stretch of a play.
-const STRETCH: u64 = 100;
-/// The loop that times are held against: this many steps of xor, shift and multiplication, each on the last one's result.
+/// Number of keys that requests draw from, beside the popular ones.
+const COMMON_KEYS: u64 = 10_000;
+/// Interval between two requests of a node, in microseconds: 755 a second, the mean rate in the planned fleet.
+const INTERVAL_US: u64 = 1_325;
+/// Requests per timed batch.
+const BATCH: u64 = 100;
+/// Steps of the reference loop; each is an xor, a shift and a multiplication that depends on the previous step's
+/// result.
 const LOOP_STEPS: u64 = 1_000_000;
-/// A step of the loop in the ratio: a request is told as thousands of them.
-const LOOP_UNIT: f64 = 1_000.0;
-/// A server that starts with a play is cold to its end.
-const COLD_THROUGHOUT: Duration = Duration::from_secs(3_600);
+/// Loop steps per unit of the ratio: a request is expressed in thousands of steps.
+const LOOP_UNIT_STEPS: f64 = 1_000.0;
+/// Slow-start time that exceeds any run: a server that starts with the run stays cold to its end.
+const SLOW_START: Duration = Duration::from_secs(3_600);
 const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
-/// How much a measurement does.
+/// Parameters of the measurement.
 #[derive(Clone, Debug)]
-pub struct Effort {
-    /// Requests of a play, in hundreds: the median is taken over hundreds.
+pub struct Params {
+    /// Requests of a run; the time is the median over batches of a hundred.
     pub requests: u64,
-    /// Requests that each balancer of the memory child meets: more than the keys that it remembers.
-    pub held_requests: u64,
+    /// Requests handled by each balancer of the memory child: more than the number of keys that a balancer remembers.
+    pub memory_requests: u64,
     /// Balancers that the memory child holds at once.
-    pub held: usize,
-    /// Plays of each size, each with a seed of its own.
+    pub balancers: usize,
+    /// Runs of each size, each with its own seed.
     pub seeds: u64,
 }
 
-impl Default for Effort {
+impl Default for Params {
     fn default() -> Self {
-        Self { requests: 20_000, held_requests: 6_000, held: 20, seeds: 3 }
+        Self { requests: 20_000, memory_requests: 6_000, balancers: 20, seeds: 3 }
     }
 }
 
-/// What one balancer meets.
+/// The environment and load of one balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shape {
+pub struct Scenario {
     /// Cache servers.
     pub servers: usize,
-    /// Zones that they are in.
+    /// Zones that the servers are spread over.
     pub zones: usize,
-    /// Tenants in the settings, whose requests come in turn; none at zero.
+    /// Tenants in the settings; requests cycle through them. Zero sends requests without a tenant.
     pub tenants: usize,
-    /// Classes, whose requests come in turn.
+    /// Classes in the settings; requests cycle through them.
     pub classes: usize,
-    /// Keys that half of the requests ask for; none at zero.
+    /// Popular keys, which half of the requests ask for. Zero draws all keys from the common set.
     pub popular_keys: usize,
-    /// Whether one server has only just started: token buckets are filled while any is cold.
+    /// Whether one server has just started: token buckets are in use while any server is cold.
     pub one_cold: bool,
 }
 
-impl Default for Shape {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             servers: PLAN_SERVERS,
@@ -81,8 +83,8 @@
     }
 }
 
-impl Shape {
-    /// A balancer that knows its servers and has met no request.
+impl Scenario {
+    /// Creates a balancer that has received its server list and no request yet.
     pub fn balancer(&self, seed: u64) -> Balancer {
         let class = |i: usize| Class {
             name: format!("class-{i}").as_str().into(),
@@ -96,7 +98,7 @@
             nodes: PLAN_NODES,
             classes: (0..self.classes).map(class).collect(),
             tenants: (0..self.tenants).map(tenant).collect(),
-            warm_within: COLD_THROUGHOUT,
+            warm_within: SLOW_START,
             ..Settings::default()
         };
         let mut balancer = Balancer::new(settings, seed);
@@ -112,46 +114,52 @@
 
     fn request(&self, number: u64, seed: u64, now: Timestamp) -> Request {
         let popular = self.popular_keys > 0 && draw::unit(seed, Stream::Requests, number << 1) < 0.5;
-        let place = draw::unit(seed, Stream::Requests, number << 1 | 1);
+        let position = draw::unit(seed, Stream::Requests, number << 1 | 1);
         let key = match popular {
-            true => (place * self.popular_keys as f64) as u64 | 1 << 40,
-            false => (place * KEYS as f64) as u64,
+            true => (position * self.popular_keys as f64) as u64 | 1 << 40,
+            false => (position * COMMON_KEYS as f64) as u64,
         };
-        let turn = number as usize;
+        let index = number as usize;
         Request {
-            class: Some(ClassId(turn % self.classes.max(1))),
-            tenant: (self.tenants > 0).then(|| TenantId(turn % self.tenants.max(1))),
+            class: Some(ClassId(index % self.classes.max(1))),
+            tenant: (self.tenants > 0).then(|| TenantId(index % self.tenants.max(1))),
             key: Some(key),
             ..Request::new(&format!("r{number}"), now + Duration::from_secs(1))
         }
     }
 }
 
-/// How the attempts of a play end.
+/// How the attempts of a run end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fleet {
-    /// Each is answered.
-    Answers,
-    /// None is: most requests are refused after a while.
-    Silent,
+pub enum ServerBehavior {
+    /// Every attempt is answered.
+    Responsive,
+    /// No attempt is answered: after a while most requests are refused.
+    Unresponsive,
 }
 
-/// Seconds a request, with all that follows from it: the median over stretches of the play, which other work on the
-/// same cores moves little.
-pub fn play(balancer: &mut Balancer, shape: &Shape, fleet: Fleet, requests: u64, seed: u64) -> f64 {
-    let (status, answered_after) = match fleet {
-        Fleet::Answers => (Status::Ok, Duration::from_millis(4)),
-        Fleet::Silent => (Status::TimedOut, Duration::from_secs(1)),
+/// Runs the workload and returns the processing time of a request in seconds, including its attempts: the median over
+/// batches, which other work on the same cores affects little.
+pub fn run_requests(
+    balancer: &mut Balancer,
+    scenario: &Scenario,
+    behavior: ServerBehavior,
+    requests: u64,
+    seed: u64,
+) -> f64 {
+    let (status, answered_after) = match behavior {
+        ServerBehavior::Responsive => (Status::Ok, Duration::from_millis(4)),
+        ServerBehavior::Unresponsive => (Status::TimedOut, Duration::from_secs(1)),
     };
     let (mut actions, mut took) = (Vec::new(), Duration::ZERO);
-    let mut stretches = Vec::new();
+    let mut batches = Vec::new();
     for number in 0..requests {
-        let now = START + Duration::from_micros((number + 1) * BETWEEN_US);
-        let request = shape.request(number, seed, now);
+        let now = START + Duration::from_micros((number + 1) * INTERVAL_US);
+        let request = scenario.request(number, seed, now);
         let start = Instant::now();
         balancer.handle(now, Event::Request(request), &mut actions);
         let mut attempt = 0;
-        while let Some((id, server)) = sent(&mut actions) {
+        while let Some((id, server)) = next_attempt(&mut actions) {
             let outcome = Outcome {
                 id,
                 attempt,
@@ -166,11 +174,11 @@
             balancer.handle(now, Event::Outcome(outcome), &mut actions);
         }
         took += start.elapsed();
-        if (number + 1) % STRETCH == 0 {
-            stretches.push(std::mem::take(&mut took));
+        if (number + 1) % BATCH == 0 {
+            batches.push(std::mem::take(&mut took));
         }
     }
-    median(stretches).as_secs_f64() / STRETCH as f64
+    median(batches).as_secs_f64() / BATCH as f64
 }
 
 fn median(mut times: Vec<Duration>) -> Duration {
@@ -178,15 +186,15 @@
     times.get(times.len() / 2).copied().unwrap_or_default()
 }
 
-/// Where the request goes next, if it does.
-fn sent(actions: &mut Vec<Action>) -> Option<(RequestId, ServerId)> {
+/// Takes the request's next attempt from the actions, if there is one.
+fn next_attempt(actions: &mut Vec<Action>) -> Option<(RequestId, ServerId)> {
     actions.drain(..).find_map(|action| match action {
         Action::Send { id, server, .. } => Some((id, server)),
         _ => None,
     })
 }
 
-/// Seconds that a thousand steps of the fixed loop take now.
+/// Current time of a thousand steps of the reference loop, in seconds.
 pub fn loop_unit() -> f64 {
     let start = Instant::now();
     let mut state = black_box(0x9e37_79b9_7f4a_7c15_u64);
@@ -194,16 +202,16 @@
         state = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     }
     black_box(state);
-    start.elapsed().as_secs_f64() / LOOP_STEPS as f64 * LOOP_UNIT
+    start.elapsed().as_secs_f64() / LOOP_STEPS as f64 * LOOP_UNIT_STEPS
 }
 
-/// One size that is varied.
+/// A size that is varied.
 struct Axis {
     name: &'static str,
-    /// What the sizes count.
+    /// What the size counts.
     against: &'static str,
     sizes: &'static [usize],
-    shape: fn(usize) -> Shape,
+    scenario: fn(usize) -> Scenario,
 }
 
 const AXES: [Axis; 6] = [
@@ -211,73 +219,83 @@
         name: "servers",
         against: "servers",
         sizes: &[10, 32, 100, 320, 1_024],
-        shape: |servers| Shape { servers, ..Shape::default() },
+        scenario: |servers| Scenario { servers, ..Scenario::default() },
     },
     Axis {
         name: "servers_one_cold",
         against: "servers",
         sizes: &[10, 32, 100, 320, 1_024],
-        shape: |servers| Shape { servers, one_cold: true, ..Shape::default() },
+        scenario: |servers| Scenario { servers, one_cold: true, ..Scenario::default() },
     },
     Axis {
         name: "zones",
         against: "zones",
         sizes: &[1, 5, 10, 20, 40],
-        shape: |zones| Shape { zones, ..Shape::default() },
+        scenario: |zones| Scenario { zones, ..Scenario::default() },
     },
     Axis {
         name: "tenants",
         against: "tenants",
         sizes: &[1, 10, 100, 1_000],
-        shape: |tenants| Shape { tenants, ..Shape::default() },
+        scenario: |tenants| Scenario { tenants, ..Scenario::default() },
     },
     Axis {
         name: "classes",
         against: "classes",
         sizes: &[1, 4, 16, 64],
-        shape: |classes| Shape { classes, ..Shape::default() },
+        scenario: |classes| Scenario { classes, ..Scenario::default() },
     },
     Axis {
         name: "popular_keys",
         against: "popular keys",
         sizes: &[1, 8, 64, 512, 4_096],
-        shape: |popular_keys| Shape { popular_keys, ..Shape::default() },
+        scenario: |popular_keys| Scenario { popular_keys, ..Scenario::default() },
     },
 ];
 
-/// All series of decisions.
-pub fn measure(effort: &Effort, programs: &Programs) -> Result<Vec<Series>, MeasureError> {
+/// Measures all series of decisions.
+pub fn measure(params: &Params, programs: &Programs) -> Result<Vec<Series>, MeasureError> {
     let mut all = Vec::new();
     for axis in &AXES {
-        all.extend(time(axis, effort));
+        all.extend(measure_time(axis, params));
     }
-    all.extend(refusals(effort));
-    all.push(memory(effort, programs)?);
+    all.extend(measure_refusals(params));
+    all.push(measure_memory(params, programs)?);
     Ok(all)
 }
 
-/// Microseconds a request, and the same as a ratio to the loop.
-fn time(axis: &Axis, effort: &Effort) -> [Series; 2] {
+/// Time per request, in microseconds and as a ratio to the reference loop.
+fn measure_time(axis: &Axis, params: &Params) -> [Series; 2] {
     let names = ["microseconds", "ratio_to_loop"];
-    play_sizes(axis, Fleet::Answers, names.map(|name| format!("decision.{name}.{}", axis.name)), effort)
+    run_sizes(
+        axis,
+        ServerBehavior::Responsive,
+        names.map(|name| format!("decision.{name}.{}", axis.name)),
+        params,
+    )
 }
 
-/// The same while no server answers, so that most are refused.
-fn refusals(effort: &Effort) -> [Series; 2] {
+/// The same while no server answers, so that most requests are refused.
+fn measure_refusals(params: &Params) -> [Series; 2] {
     let axis = &AXES[0];
     let names = ["refusal_microseconds", "refusal_ratio_to_loop"];
-    play_sizes(axis, Fleet::Silent, names.map(|name| format!("decision.{name}.{}", axis.name)), effort)
+    run_sizes(
+        axis,
+        ServerBehavior::Unresponsive,
+        names.map(|name| format!("decision.{name}.{}", axis.name)),
+        params,
+    )
 }
 
-/// One play for each size and seed; `names`: of the series of microseconds and of ratios.
-fn play_sizes(axis: &Axis, fleet: Fleet, names: [String; 2], effort: &Effort) -> [Series; 2] {
+/// Runs each size with each seed. `names` are those of the series in microseconds and of the ratio.
+fn run_sizes(axis: &Axis, behavior: ServerBehavior, names: [String; 2], params: &Params) -> [Series; 2] {
     let mut micros = Series::new(&names[0], "us", axis.against, Method::InProcess);
     let mut ratio = Series::new(&names[1], "thousand steps of the loop", axis.against, Method::InProcess);
-    for seed in 1..=effort.seeds {
+    for seed in 1..=params.seeds {
         for &size in axis.sizes {
-            let shape = (axis.shape)(size);
+            let scenario = (axis.scenario)(size);
             let unit = loop_unit();
-            let took = play(&mut shape.balancer(seed), &shape, fleet, effort.requests, seed);
+            let took = run_requests(&mut scenario.balancer(seed), &scenario, behavior, params.requests, seed);
             micros.push(size as f64, took * 1e6, seed);
             ratio.push(size as f64, took / unit, seed);
         }
@@ -285,15 +303,16 @@
     [micros, ratio]
 }
 
-/// Bytes that a balancer holds after as many requests as fill its table of keys.
-fn memory(effort: &Effort, programs: &Programs) -> Result<Series, MeasureError> {
+/// Memory of a balancer after enough requests to fill its table of keys.
+fn measure_memory(params: &Params, programs: &Programs) -> Result<Series, MeasureError> {
     let axis = &AXES[0];
     let mut series = Series::new("decision.memory.servers", "B", axis.against, Method::InProcess);
-    for seed in 1..=effort.seeds {
+    for seed in 1..=params.seeds {
         for &size in axis.sizes {
-            let requests = effort.held_requests;
-            let asked = memory_child::Asked { servers: size, held: effort.held, requests, seed };
-            series.push(size as f64, memory_child::ask(programs, &asked)?, seed);
+            let requests = params.memory_requests;
+            let child_params =
+                memory_child::Params { servers: size, balancers: params.balancers, requests, seed };
+            series.push(size as f64, memory_child::run(programs, &child_params)?, seed);
         }
     }
     Ok(series)
--- a/lab/src/measure/discovery.rs
+++ b/lab/src/measure/discovery.rs
@@ -1,8 +1,8 @@
-//! What discovery asks of a node and of its agent: a whole list, a change, a watch with nothing new.
+//! What discovery costs a node and its agent: a full list, a change, and a watch without changes.
 
-use super::series::{Collect, Method, Series};
-use super::stage::discovery::{host, Call, Discovery, Kind};
-use super::stage::{block_on, usage, wait_for, Folder, Node};
+use super::series::{Method, Series, SeriesExt};
+use super::testbed::discovery::{host_entry, Call, DiscoveryStub, ResponseKind};
+use super::testbed::{block_on, usage, wait_for, Node, TempDir};
 use super::{MeasureError, Programs};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -10,74 +10,76 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// Zones that the servers are in.
+/// Zones that the servers are spread over.
 const ZONES: usize = 19;
-/// Servers of the plan, where the entries of a change are varied.
+/// Servers of the planned fleet, used where the number of changed entries is varied.
 const PLAN_SERVERS: usize = 110;
-/// Watches that the agents of the fleet answer together.
-const WATCHES: [u32; 4] = [66, 132, 265, 530];
-/// A port at which nobody needs to listen: nothing is sent to these servers.
-const NOBODY: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
+/// Numbers of watches that the fleet's agents serve together.
+const WATCH_COUNTS: [u32; 4] = [66, 132, 265, 530];
+/// Address of the listed servers: no requests are sent, so nothing needs to listen there.
+const UNUSED_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
 
-/// How much is measured.
+/// Parameters of the measurement.
 #[derive(Clone, Debug)]
-pub struct Effort {
+pub struct Params {
     /// Numbers of servers.
     pub servers: Vec<usize>,
-    /// Entries of a change.
+    /// Numbers of entries in a change.
     pub changed: Vec<usize>,
-    /// Whole lists and changes of each size.
-    pub lists: usize,
-    /// How long a watch is looked at that has nothing to tell.
-    pub rest: Duration,
-    /// Plays of each size.
+    /// Full lists and changes sent for each size.
+    pub repetitions: usize,
+    /// How long an idle watch is observed.
+    pub idle: Duration,
+    /// Runs of each size.
     pub seeds: u64,
 }
 
-impl Default for Effort {
+impl Default for Params {
     fn default() -> Self {
         Self {
             servers: vec![10, 32, 100, 320, 1_024],
             changed: vec![1, 4, 16, 64],
-            lists: 20,
-            rest: Duration::from_secs(9),
+            repetitions: 20,
+            idle: Duration::from_secs(9),
             seeds: 1,
         }
     }
 }
 
-/// All series of discovery.
-pub fn measure(effort: &Effort, programs: &Programs) -> Result<Vec<Series>, MeasureError> {
+/// Measures all series of discovery.
+pub fn measure(params: &Params, programs: &Programs) -> Result<Vec<Series>, MeasureError> {
     block_on(async {
-        let mut all = All::default();
-        for seed in 1..=effort.seeds {
-            all.lists(effort, programs, seed).await?;
-            all.changes(effort, programs, seed).await?;
+        let mut all = SeriesSet::default();
+        for seed in 1..=params.seeds {
+            all.measure_lists(params, programs, seed).await?;
+            all.measure_changes(params, programs, seed).await?;
         }
-        all.watches(effort);
+        all.derive_watches(params);
         Ok(all.into_series())
     })
 }
 
 fn hosts(servers: usize) -> Vec<Value> {
-    (0..servers).map(|place| host(place, place % ZONES, SocketAddr::from(NOBODY), "ready")).collect()
+    (0..servers)
+        .map(|index| host_entry(index, index % ZONES, SocketAddr::from(UNUSED_ADDRESS), "ready"))
+        .collect()
 }
 
-/// The series, as they grow.
-struct All {
+/// The series under construction.
+struct SeriesSet {
     list_bytes: Series,
     list_seconds: Series,
     list_processor_seconds: Series,
     change_bytes: Series,
     change_processor_seconds: Series,
     changed_bytes: Series,
-    rest_calls: Series,
-    rest_bytes: Series,
+    idle_calls: Series,
+    idle_bytes: Series,
     watch_calls: Series,
     watch_bytes: Series,
 }
 
-impl Default for All {
+impl Default for SeriesSet {
     fn default() -> Self {
         let real = |name: &str, unit: &str, against: &str| Series::new(name, unit, against, Method::Real);
         Self {
@@ -87,140 +89,157 @@
             change_bytes: real("discovery.change_bytes", "B", "servers"),
             change_processor_seconds: real("discovery.change_processor_seconds", "s", "servers"),
             changed_bytes: real("discovery.change_bytes.entries", "B", "entries that changed"),
-            rest_calls: real("discovery.rest_calls_per_second", "1/s", "servers"),
-            rest_bytes: real("discovery.rest_bytes_per_second", "B/s", "servers"),
+            idle_calls: real("discovery.rest_calls_per_second", "1/s", "servers"),
+            idle_bytes: real("discovery.rest_bytes_per_second", "B/s", "servers"),
             watch_calls: real("discovery.watch_calls_per_second", "1/s", "watches"),
             watch_bytes: real("discovery.watch_bytes_per_second", "B/s", "watches"),
         }
     }
 }
 
-/// A node that watches its list, and its agent.
-struct Watching {
+/// A node that watches its server list, and the discovery agent that it watches.
+struct WatchingNode {
     node: Node,
-    discovery: Discovery,
-    _folder: Folder,
+    discovery: DiscoveryStub,
+    _temp_dir: TempDir,
 }
 
-impl Watching {
+impl WatchingNode {
     async fn start(programs: &Programs, servers: usize) -> Result<Self, MeasureError> {
-        let folder = Folder::new(&format!("discovery-{servers}"))?;
-        let discovery = Discovery::open(hosts(servers)).await?;
-        let node = Node::start(programs, &folder, "n1", discovery.address(), json!({}))?;
-        node.ready().await?;
-        wait_for("the node's watch", || discovery.is_taken_in()).await?;
-        Ok(Self { node, discovery, _folder: folder })
+        let temp_dir = TempDir::new(&format!("discovery-{servers}"))?;
+        let discovery = DiscoveryStub::open(hosts(servers)).await?;
+        let node = Node::start(programs, &temp_dir, "n1", discovery.address(), json!({}))?;
+        node.wait_ready().await?;
+        wait_for("the node to watch discovery", || discovery.is_applied()).await?;
+        Ok(Self { node, discovery, _temp_dir: temp_dir })
     }
 
-    /// Tells these hosts so many times, each once the one before was taken in. Returns the calls, and the node's
-    /// processor seconds for each.
-    async fn tell(
+    /// Publishes the hosts `times` times, each time after the previous one was applied. Returns the calls with a list
+    /// or a change, and the processor seconds of the node for each.
+    async fn publish(
         &self,
         hosts: &[Value],
-        whole: bool,
+        full: bool,
         times: usize,
     ) -> Result<(Vec<Call>, f64), MeasureError> {
         self.discovery.take_calls();
         let before = usage::processor_seconds(self.node.id());
-        for told in 1..=times {
-            self.discovery.tell(hosts, whole);
-            let (discovery, wanted) = (&self.discovery, if whole { Kind::Whole } else { Kind::Change });
-            wait_for("a list to be taken in", || discovery.count(wanted) == told && discovery.is_taken_in())
-                .await?;
+        for published in 1..=times {
+            self.discovery.publish(hosts, full);
+            let (discovery, kind) =
+                (&self.discovery, if full { ResponseKind::Full } else { ResponseKind::Changes });
+            wait_for("the node to apply a list", || {
+                discovery.count(kind) == published && discovery.is_applied()
+            })
+            .await?;
         }
         let used = usage::processor_seconds(self.node.id()) - before;
         let mut calls = self.discovery.take_calls();
-        calls.retain(|call| call.kind != Kind::Nothing);
+        calls.retain(|call| call.kind != ResponseKind::Unchanged);
         Ok((calls, used / times.max(1) as f64))
     }
 
-    /// A watch with nothing new, from the end of a wait to the end of another; then the node is told to go.
-    async fn rest(self, length: Duration) -> Result<Rest, MeasureError> {
+    /// Observes the watch without changes, from the end of one long poll to the end of another, then stops the node.
+    async fn measure_idle(self, length: Duration) -> Result<IdleCost, MeasureError> {
         let discovery = &self.discovery;
         discovery.take_calls();
-        wait_for("the end of a wait", || discovery.calls() > 0).await?;
+        wait_for("the end of a long poll", || discovery.calls() > 0).await?;
         discovery.take_calls();
         let start = Instant::now();
         sleep(length).await;
         let before = discovery.calls();
-        wait_for("the end of a wait", || discovery.calls() > before).await?;
+        wait_for("the end of a long poll", || discovery.calls() > before).await?;
         let seconds = start.elapsed().as_secs_f64();
         let calls = discovery.take_calls();
-        let bytes: usize = calls.iter().map(|call| call.asked + call.answered).sum();
+        let bytes: usize = calls.iter().map(|call| call.request_bytes + call.response_bytes).sum();
         self.node.stop().await?;
-        Ok(Rest { calls_per_second: calls.len() as f64 / seconds, bytes_per_second: bytes as f64 / seconds })
+        Ok(IdleCost {
+            calls_per_second: calls.len() as f64 / seconds,
+            bytes_per_second: bytes as f64 / seconds,
+        })
     }
 }
 
-/// What a watch costs while there is nothing new.
-struct Rest {
+/// What a watch costs while nothing changes.
+struct IdleCost {
     calls_per_second: f64,
     bytes_per_second: f64,
 }
 
-/// The median of the times that lists took until the node called again.
-fn median_seconds(calls: &[Call]) -> f64 {
-    let mut times: Vec<_> = calls.iter().filter_map(|call| call.taken_in_after).collect();
+/// Median time from an answer to the node's next call.
+fn median_apply_seconds(calls: &[Call]) -> f64 {
+    let mut times: Vec<_> = calls.iter().filter_map(|call| call.applied_after).collect();
     times.sort_unstable();
     times.get(times.len() / 2).map_or(0.0, Duration::as_secs_f64)
 }
 
-impl All {
-    async fn lists(&mut self, effort: &Effort, programs: &Programs, seed: u64) -> Result<(), MeasureError> {
-        let mut resting = Vec::new();
-        for &servers in &effort.servers {
-            let watching = Watching::start(programs, servers).await?;
-            self.told(&watching, effort, servers, seed).await?;
-            resting.push((servers, spawn_local(watching.rest(effort.rest))));
+impl SeriesSet {
+    async fn measure_lists(
+        &mut self,
+        params: &Params,
+        programs: &Programs,
+        seed: u64,
+    ) -> Result<(), MeasureError> {
+        let mut idle_tasks = Vec::new();
+        for &servers in &params.servers {
+            let watching = WatchingNode::start(programs, servers).await?;
+            self.measure_updates(&watching, params, servers, seed).await?;
+            idle_tasks.push((servers, spawn_local(watching.measure_idle(params.idle))));
         }
-        for (servers, rest) in resting {
-            let rest = rest.await.map_err(|_| MeasureError::Late("a watch at rest"))??;
-            self.rest_calls.push(servers as f64, rest.calls_per_second, seed);
-            self.rest_bytes.push(servers as f64, rest.bytes_per_second, seed);
+        for (servers, idle) in idle_tasks {
+            let idle =
+                idle.await.map_err(|_| MeasureError::Timeout("the measurement of an idle watch"))??;
+            self.idle_calls.push(servers as f64, idle.calls_per_second, seed);
+            self.idle_bytes.push(servers as f64, idle.bytes_per_second, seed);
         }
         Ok(())
     }
 
-    /// Whole lists and changes.
-    async fn told(
+    /// Measures full lists and changes.
+    async fn measure_updates(
         &mut self,
-        watching: &Watching,
-        effort: &Effort,
+        watching: &WatchingNode,
+        params: &Params,
         servers: usize,
         seed: u64,
     ) -> Result<(), MeasureError> {
         let list = hosts(servers);
         let size = servers as f64;
-        let (calls, used) = watching.tell(&list, true, effort.lists).await?;
-        self.list_bytes.push(size, calls.last().map_or(0.0, |call| call.answered as f64), seed);
-        self.list_seconds.push(size, median_seconds(&calls), seed);
+        let (calls, used) = watching.publish(&list, true, params.repetitions).await?;
+        self.list_bytes.push(size, calls.last().map_or(0.0, |call| call.response_bytes as f64), seed);
+        self.list_seconds.push(size, median_apply_seconds(&calls), seed);
         self.list_processor_seconds.push(size, used, seed);
-        let (calls, used) = watching.tell(&list[..1], false, effort.lists).await?;
-        self.change_bytes.push(size, calls.last().map_or(0.0, |call| call.answered as f64), seed);
+        let (calls, used) = watching.publish(&list[..1], false, params.repetitions).await?;
+        self.change_bytes.push(size, calls.last().map_or(0.0, |call| call.response_bytes as f64), seed);
         self.change_processor_seconds.push(size, used, seed);
         Ok(())
     }
 
-    async fn changes(&mut self, effort: &Effort, programs: &Programs, seed: u64) -> Result<(), MeasureError> {
-        let watching = Watching::start(programs, PLAN_SERVERS).await?;
+    async fn measure_changes(
+        &mut self,
+        params: &Params,
+        programs: &Programs,
+        seed: u64,
+    ) -> Result<(), MeasureError> {
+        let watching = WatchingNode::start(programs, PLAN_SERVERS).await?;
         let list = hosts(PLAN_SERVERS);
-        for &changed in &effort.changed {
-            let (calls, _) = watching.tell(&list[..changed], false, effort.lists).await?;
-            let bytes = calls.last().map_or(0.0, |call| call.answered as f64);
+        for &changed in &params.changed {
+            let (calls, _) = watching.publish(&list[..changed], false, params.repetitions).await?;
+            let bytes = calls.last().map_or(0.0, |call| call.response_bytes as f64);
             self.changed_bytes.push(changed as f64, bytes, seed);
         }
         watching.node.stop().await
     }
 
-    /// What the watches of many nodes ask of the agents, by arithmetic: so many times the mean of one that rests.
-    fn watches(&mut self, effort: &Effort) {
-        for seed in 1..=effort.seeds {
+    /// Load of many nodes' watches on the agents, computed as a multiple of the mean of one idle watch.
+    fn derive_watches(&mut self, params: &Params) {
+        for seed in 1..=params.seeds {
             let mean = |series: &Series| {
-                let of = series.points.iter().filter(|point| point.seed == seed).map(|point| point.value);
-                of.sum::<f64>() / effort.servers.len().max(1) as f64
+                let values = series.points.iter().filter(|point| point.seed == seed).map(|point| point.value);
+                values.sum::<f64>() / params.servers.len().max(1) as f64
             };
-            let (calls, bytes) = (mean(&self.rest_calls), mean(&self.rest_bytes));
-            for watches in WATCHES.map(f64::from) {
+            let (calls, bytes) = (mean(&self.idle_calls), mean(&self.idle_bytes));
+            for watches in WATCH_COUNTS.map(f64::from) {
                 self.watch_calls.push(watches, calls * watches, seed);
                 self.watch_bytes.push(watches, bytes * watches, seed);
             }
@@ -235,8 +254,8 @@
             self.change_bytes,
             self.change_processor_seconds,
             self.changed_bytes,
-            self.rest_calls,
-            self.rest_bytes,
+            self.idle_calls,
+            self.idle_bytes,
             self.watch_calls,
             self.watch_bytes,
         ]
--- a/lab/src/measure/hollow_peers.rs
+++ b/lab/src/measure/hollow_peers.rs
@@ -1,4 +1,5 @@
-//! Peers without a request path, for a real node to meet and to lose: each its membership and its socket.
+//! Peers without a request path, for a real node to discover and to lose: each is a membership state machine and a
+//! socket.
 
 use super::MeasureError;
 use std::io;
@@ -9,19 +10,19 @@
 use tokio::time::{sleep_until, Instant};
 use walkpick::peers::{Output, Peer, Peers, PeersConfig};
 
-/// The longest datagram that is read.
-const LONGEST: usize = 2_048;
-/// With no time to wait for, a peer looks again after so long.
-const REST: Duration = Duration::from_secs(1);
+/// Size of the receive buffer, in bytes: the longest datagram that is read.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// Time until the next check of timers if a peer has none pending.
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Peers that run. Dropped, they fall silent all at once, as in a zone's loss.
+/// A set of running peers. Dropping it silences all of them at once, as in the loss of a zone.
 #[derive(Debug)]
 pub struct HollowPeers {
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl HollowPeers {
-    /// Starts so many, numbered from `first`, who first ask `seed`.
+    /// Starts `count` peers, numbered from `first`, that join through `seed`.
     pub async fn start(
         count: usize,
         first: usize,
@@ -30,8 +31,8 @@
         nodes: u32,
     ) -> Result<Self, MeasureError> {
         let mut tasks = Vec::with_capacity(count);
-        for place in first..first + count {
-            let failed = MeasureError::machine("a peer's socket");
+        for index in first..first + count {
+            let failed = MeasureError::io("a peer's socket");
             let socket = UdpSocket::bind("127.0.0.1:0").await.map_err(&failed)?;
             let address = socket.local_addr().map_err(&failed)?;
             let config = PeersConfig {
@@ -40,16 +41,16 @@
                 configured_nodes: nodes,
                 ..PeersConfig::default()
             };
-            let name = format!("peer-{place:04}");
-            let me = Peer {
+            let name = format!("peer-{index:04}");
+            let local_peer = Peer {
                 address,
                 generation: 1,
-                salt: place as u32,
+                salt: index as u32,
                 observer: false,
                 name,
                 metadata: Vec::new(),
             };
-            let peers = Peers::new(config, me, place as u64, 0);
+            let peers = Peers::new(config, local_peer, index as u64, 0);
             tasks.push(spawn_local(async move { drop(run(socket, peers).await) }));
         }
         Ok(Self { tasks })
@@ -63,23 +64,24 @@
 }
 
 async fn run(socket: UdpSocket, mut peers: Peers) -> io::Result<()> {
-    let (start, mut buffer, mut out) = (Instant::now(), vec![0; LONGEST], Vec::new());
+    let (start, mut buffer, mut out) = (Instant::now(), vec![0; MAX_DATAGRAM_BYTES], Vec::new());
     loop {
         let now = || u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
-        let next =
-            peers.next_wakeup().map_or_else(|| Instant::now() + REST, |at| start + Duration::from_micros(at));
+        let wakeup = peers
+            .next_wakeup()
+            .map_or_else(|| Instant::now() + IDLE_INTERVAL, |at| start + Duration::from_micros(at));
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
-                // An error is a peer's machine that refused an earlier datagram.
+                // An error only means that another peer's host refused an earlier datagram.
                 if let Ok((length, _)) = received {
                     peers.handle_datagram(now(), &buffer[..length], &mut out);
                 }
             }
-            () = sleep_until(next) => peers.handle_timers(now(), &mut out),
+            () = sleep_until(wakeup) => peers.handle_timers(now(), &mut out),
         }
         for output in out.drain(..) {
             if let Output::Send { to, data } = output {
-                // What cannot be sent at once is lost, as on any network.
+                // A datagram that cannot be sent at once is lost, as on any network.
                 let _ = socket.try_send_to(&data, to);
             }
         }
--- a/lab/src/measure/log.rs
+++ b/lab/src/measure/log.rs
@@ -1,11 +1,12 @@
-//! What a real node writes to its log: in calm, while a zone of servers says nothing, and when peers are lost.
+//! What a real node writes to its log: in normal operation, while a zone of servers is silent, and after peers are
+//! lost.
 
 use super::hollow_peers::HollowPeers;
-use super::series::{Collect, Method, Series};
-use super::stage::clients::{Load, QUICK};
-use super::stage::discovery::{host, Discovery};
-use super::stage::servers::Servers;
-use super::stage::{block_on, wait_for, Folder, Node};
+use super::series::{Method, Series, SeriesExt};
+use super::testbed::clients::{Load, QUICK};
+use super::testbed::discovery::{host_entry, DiscoveryStub};
+use super::testbed::servers::StubServers;
+use super::testbed::{block_on, wait_for, Node, TempDir};
 use super::{MeasureError, Programs};
 use crate::real::link::{own_address, ReservedDatagrams};
 use serde_json::{json, Value};
@@ -14,44 +15,44 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Zones of the plan that keep their servers.
-const OTHER_ZONES: usize = 18;
-/// Bytes of an answer.
-const ANSWER_BYTES: usize = 1_024;
+/// Zones other than the lost one, as in the planned fleet.
+const REMAINING_ZONES: usize = 18;
+/// Bytes of a server's response.
+const RESPONSE_BYTES: usize = 1_024;
 const CLUSTER: &str = "log";
-/// A node looks at its log so often.
+/// Interval at which the size of the log is sampled.
 const SECOND: Duration = Duration::from_secs(1);
 
-/// How much is measured.
+/// Parameters of the measurement.
 #[derive(Clone, Debug)]
-pub struct Effort {
-    /// Cache servers in all.
+pub struct Params {
+    /// Total number of cache servers.
     pub servers: usize,
-    /// Servers of the zone that is lost.
+    /// Numbers of servers in the lost zone.
     pub servers_lost: Vec<usize>,
-    /// Peers that are lost.
+    /// Numbers of lost peers.
     pub peers_lost: Vec<usize>,
-    /// Peers that stay.
-    pub peers_kept: usize,
-    /// Requests a second, while servers or peers are varied.
+    /// Peers that remain.
+    pub peers_remaining: usize,
+    /// Requests per second while the number of lost servers is varied.
     pub rate: f64,
-    /// Requests a second, where those are varied.
+    /// Requests per second, where the rate is varied.
     pub rates: Vec<f64>,
-    /// Peers stand for so long before some are lost.
+    /// Time between the discovery of all peers and the loss.
     pub settle: Duration,
-    /// Seconds of calm, and of each loss.
+    /// Seconds of normal operation, and of each failure.
     pub seconds: u32,
-    /// Plays of each size.
+    /// Runs of each size.
     pub seeds: u64,
 }
 
-impl Default for Effort {
+impl Default for Params {
     fn default() -> Self {
         Self {
             servers: 110,
             servers_lost: vec![4, 8, 16, 28],
             peers_lost: vec![7, 14, 28, 56],
-            peers_kept: 28,
+            peers_remaining: 28,
             rate: 755.0,
             rates: vec![100.0, 300.0, 755.0, 1_500.0],
             settle: Duration::from_secs(3),
@@ -61,18 +62,18 @@
     }
 }
 
-/// All series of the log.
-pub fn measure(effort: &Effort, programs: &Programs) -> Result<Vec<Series>, MeasureError> {
+/// Measures all series of the log.
+pub fn measure(params: &Params, programs: &Programs) -> Result<Vec<Series>, MeasureError> {
     block_on(async {
-        let mut all = All::default();
-        for seed in 1..=effort.seeds {
-            all.play(effort, programs, seed).await?;
+        let mut all = SeriesSet::default();
+        for seed in 1..=params.seeds {
+            all.run(params, programs, seed).await?;
         }
         Ok(all.into_series())
     })
 }
 
-struct All {
+struct SeriesSet {
     calm: Series,
     zone: Series,
     zone_largest: Series,
@@ -82,7 +83,7 @@
     all_largest: Series,
 }
 
-impl Default for All {
+impl Default for SeriesSet {
     fn default() -> Self {
         let real = |name: &str, against: &str| Series::new(name, "B/s", against, Method::Real);
         Self {
@@ -97,7 +98,7 @@
     }
 }
 
-/// What the log grew by, on the mean and in the largest second.
+/// Growth of the log, in bytes per second: mean, and largest of any second.
 struct Growth {
     mean: f64,
     largest: f64,
@@ -115,11 +116,11 @@
     Growth { mean: (before - start) as f64 / f64::from(seconds.max(1)), largest: largest as f64 }
 }
 
-/// The lost zone's servers come first.
-fn hosts(servers: &Servers, lost: usize) -> Vec<Value> {
-    let zone = |place: usize| if place < lost { 0 } else { 1 + place % OTHER_ZONES };
+/// Host entries of the servers; the first `lost` of them are in the zone that is lost.
+fn hosts(servers: &StubServers, lost: usize) -> Vec<Value> {
+    let zone = |index: usize| if index < lost { 0 } else { 1 + index % REMAINING_ZONES };
     let all = servers.addresses().iter().enumerate();
-    all.map(|(place, &address)| host(place, zone(place), address, "ready")).collect()
+    all.map(|(index, &address)| host_entry(index, zone(index), address, "ready")).collect()
 }
 
 /// Servers that fall silent under a load.
@@ -129,87 +130,100 @@
     rate: f64,
 }
 
-impl All {
+impl SeriesSet {
     fn into_series(self) -> Vec<Series> {
         let Self { calm, zone, zone_largest, peers, peers_largest, all, all_largest } = self;
         vec![calm, zone, zone_largest, peers, peers_largest, all, all_largest]
     }
 
-    /// All sizes at once: what a node logs does not depend on how busy the machine is with others.
-    async fn play(&mut self, effort: &Effort, programs: &Programs, seed: u64) -> Result<(), MeasureError> {
-        let effort = Rc::new(effort.clone());
+    /// Runs all sizes at once: what a node logs does not depend on how busy the machine is.
+    async fn run(&mut self, params: &Params, programs: &Programs, seed: u64) -> Result<(), MeasureError> {
+        let params = Rc::new(params.clone());
         let start = |lost, rate| {
             let loss = Loss { servers: lost, rate };
-            (loss, spawn_local(zone(effort.clone(), programs.clone(), loss)))
+            (loss, spawn_local(measure_zone_loss(params.clone(), programs.clone(), loss)))
         };
-        let zones: Vec<_> = effort.servers_lost.iter().map(|&lost| start(lost, effort.rate)).collect();
-        let peers: Vec<_> = effort
+        let zones: Vec<_> = params.servers_lost.iter().map(|&lost| start(lost, params.rate)).collect();
+        let peers: Vec<_> = params
             .peers_lost
             .iter()
-            .map(|&lost| (lost, spawn_local(peers(effort.clone(), programs.clone(), lost))))
+            .map(|&lost| (lost, spawn_local(measure_peer_loss(params.clone(), programs.clone(), lost))))
             .collect();
         for (loss, zone) in zones {
-            let (calm, trouble) = zone.await.map_err(|_| MeasureError::Late("a zone's loss"))??;
+            let (calm, failure) =
+                zone.await.map_err(|_| MeasureError::Timeout("the measurement of a zone's loss"))??;
             let lost = loss.servers as f64;
             self.calm.push(lost, calm.mean, seed);
-            self.zone.push(lost, trouble.mean, seed);
-            self.zone_largest.push(lost, trouble.largest, seed);
+            self.zone.push(lost, failure.mean, seed);
+            self.zone_largest.push(lost, failure.largest, seed);
         }
         for (lost, peers) in peers {
-            let growth = peers.await.map_err(|_| MeasureError::Late("the peers' loss"))??;
+            let growth =
+                peers.await.map_err(|_| MeasureError::Timeout("the measurement of the peers' loss"))??;
             self.peers.push(lost as f64, growth.mean, seed);
             self.peers_largest.push(lost as f64, growth.largest, seed);
         }
-        // All servers are lost: each request ends in a line, as far as the log admits it.
-        let all: Vec<_> = effort.rates.iter().map(|&rate| start(effort.servers, rate)).collect();
+        // With all servers lost, each request ends in a log line, up to the log's rate limit.
+        let all: Vec<_> = params.rates.iter().map(|&rate| start(params.servers, rate)).collect();
         for (loss, zone) in all {
-            let (_, trouble) = zone.await.map_err(|_| MeasureError::Late("the loss of all servers"))??;
-            self.all.push(loss.rate, trouble.mean, seed);
-            self.all_largest.push(loss.rate, trouble.largest, seed);
+            let (_, failure) = zone
+                .await
+                .map_err(|_| MeasureError::Timeout("the measurement of the loss of all servers"))??;
+            self.all.push(loss.rate, failure.mean, seed);
+            self.all_largest.push(loss.rate, failure.largest, seed);
         }
         Ok(())
     }
 }
 
-/// The log in calm, and then while a zone of so many servers says nothing.
-async fn zone(effort: Rc<Effort>, programs: Programs, loss: Loss) -> Result<(Growth, Growth), MeasureError> {
+/// Growth of the log in normal operation, and then while the first `servers` servers are silent.
+async fn measure_zone_loss(
+    params: Rc<Params>,
+    programs: Programs,
+    loss: Loss,
+) -> Result<(Growth, Growth), MeasureError> {
     let Loss { servers: lost, rate } = loss;
-    let folder = Folder::new(&format!("log-zone-{lost}-{rate}"))?;
-    let servers = Servers::open(effort.servers, ANSWER_BYTES).await?;
-    let discovery = Discovery::open(hosts(&servers, lost)).await?;
-    let node = Node::start(&programs, &folder, "n1", discovery.address(), json!({}))?;
-    node.ready().await?;
-    let load = Load::begin(node.address(), QUICK, rate, 0).await?;
+    let temp_dir = TempDir::new(&format!("log-zone-{lost}-{rate}"))?;
+    let servers = StubServers::open(params.servers, RESPONSE_BYTES).await?;
+    let discovery = DiscoveryStub::open(hosts(&servers, lost)).await?;
+    let node = Node::start(&programs, &temp_dir, "n1", discovery.address(), json!({}))?;
+    node.wait_ready().await?;
+    let load = Load::start(node.address(), QUICK, rate, 0).await?;
     sleep(SECOND).await;
-    let calm = growth(&node, effort.seconds).await;
+    let calm = growth(&node, params.seconds).await;
     servers.silence(lost);
-    let trouble = growth(&node, effort.seconds).await;
-    load.end().await;
+    let failure = growth(&node, params.seconds).await;
+    load.stop().await;
     node.stop().await?;
-    Ok((calm, trouble))
+    Ok((calm, failure))
 }
 
-/// The log after so many peers have fallen silent.
-async fn peers(effort: Rc<Effort>, programs: Programs, lost: usize) -> Result<Growth, MeasureError> {
-    let folder = Folder::new(&format!("log-peers-{lost}"))?;
-    let servers = Servers::open(1, ANSWER_BYTES).await?;
-    let discovery = Discovery::open(hosts(&servers, 0)).await?;
-    let failed = MeasureError::machine("a port for peers");
+/// Growth of the log after `lost` peers have fallen silent.
+async fn measure_peer_loss(
+    params: Rc<Params>,
+    programs: Programs,
+    lost: usize,
+) -> Result<Growth, MeasureError> {
+    let temp_dir = TempDir::new(&format!("log-peers-{lost}"))?;
+    let servers = StubServers::open(1, RESPONSE_BYTES).await?;
+    let discovery = DiscoveryStub::open(hosts(&servers, 0)).await?;
+    let failed = MeasureError::io("a port for peers");
     let reserved = ReservedDatagrams::new(own_address()).map_err(failed)?;
     reserved.let_go();
     let address = reserved.address();
     let section = json!({"peers": {"listen": address.to_string(), "cluster": CLUSTER}});
-    let node = Node::start(&programs, &folder, "n1", discovery.address(), section)?;
-    node.ready().await?;
-    let nodes = (lost + effort.peers_kept + 1) as u32;
-    let kept = HollowPeers::start(effort.peers_kept, 0, address, CLUSTER, nodes).await?;
-    let gone = HollowPeers::start(lost, effort.peers_kept, address, CLUSTER, nodes).await?;
-    let all = lost + effort.peers_kept;
-    wait_for("the peers", || node.log().matches("a peer is present").count() >= all).await?;
-    sleep(effort.settle).await;
-    drop(gone);
-    let growth = growth(&node, effort.seconds).await;
-    drop(kept);
+    let node = Node::start(&programs, &temp_dir, "n1", discovery.address(), section)?;
+    node.wait_ready().await?;
+    let nodes = (lost + params.peers_remaining + 1) as u32;
+    let remaining = HollowPeers::start(params.peers_remaining, 0, address, CLUSTER, nodes).await?;
+    let lost_peers = HollowPeers::start(lost, params.peers_remaining, address, CLUSTER, nodes).await?;
+    let all = lost + params.peers_remaining;
+    wait_for("the node to discover its peers", || node.log().matches("a peer is present").count() >= all)
+        .await?;
+    sleep(params.settle).await;
+    drop(lost_peers);
+    let growth = growth(&node, params.seconds).await;
+    drop(remaining);
     node.stop().await?;
     Ok(growth)
 }
--- a/lab/src/measure/memory_child.rs
+++ b/lab/src/measure/memory_child.rs
@@ -1,61 +1,67 @@
-//! A child process that holds balancers and says how much its resident memory grew: what this process freed before
-//! cannot blur it there.
+//! A child process that creates balancers and reports the growth of its resident memory: in a fresh process, memory
+//! that was freed earlier cannot hide the growth.
 
-use super::decisions::{self, Fleet, Shape};
+use super::decisions::{self, Scenario, ServerBehavior};
 use super::{MeasureError, Programs};
 use std::process::Command;
 
-/// What the child is to hold.
+/// What the child creates.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
-    /// Cache servers that each balancer knows.
+pub struct Params {
+    /// Cache servers known to each balancer.
     pub servers: usize,
-    /// Balancers.
-    pub held: usize,
-    /// Requests that each meets: its table of keys is full after some thousands.
+    /// Number of balancers.
+    pub balancers: usize,
+    /// Requests handled by each balancer: its table of keys is full after some thousands.
     pub requests: u64,
-    /// What the first one's draws come from.
+    /// Seed of the first balancer.
     pub seed: u64,
 }
 
-/// The child's part: bytes of resident memory that one balancer takes.
-pub fn answer(asked: &Asked) -> f64 {
-    let shape = Shape { servers: asked.servers, ..Shape::default() };
-    let balancers = |count: usize| -> Vec<_> {
+/// Runs in the child: bytes of resident memory that one balancer takes.
+pub fn measure(params: &Params) -> f64 {
+    let scenario = Scenario { servers: params.servers, ..Scenario::default() };
+    let create = |count: usize| -> Vec<_> {
         (0..count)
             .map(|i| {
-                let seed = asked.seed + i as u64;
-                let mut balancer = shape.balancer(seed);
-                decisions::play(&mut balancer, &shape, Fleet::Answers, asked.requests, seed);
+                let seed = params.seed + i as u64;
+                let mut balancer = scenario.balancer(seed);
+                decisions::run_requests(
+                    &mut balancer,
+                    &scenario,
+                    ServerBehavior::Responsive,
+                    params.requests,
+                    seed,
+                );
                 balancer
             })
             .collect()
     };
-    // The first one brings what the allocator keeps for itself.
-    let first = balancers(1);
+    // The first balancer also pays for the memory that the allocator keeps for itself.
+    let first = create(1);
     let before = resident_bytes();
-    let held = balancers(asked.held);
-    let grown = resident_bytes().saturating_sub(before) as f64 / asked.held.max(1) as f64;
-    drop((first, held));
-    grown
+    let created = create(params.balancers);
+    let growth = resident_bytes().saturating_sub(before) as f64 / params.balancers.max(1) as f64;
+    drop((first, created));
+    growth
 }
 
-/// Starts the child and reads its answer.
-pub fn ask(programs: &Programs, asked: &Asked) -> Result<f64, MeasureError> {
+/// Starts the child and parses its output.
+pub fn run(programs: &Programs, params: &Params) -> Result<f64, MeasureError> {
     let output = Command::new(&programs.lab)
         .arg("hold")
         .arg(std::process::id().to_string())
         .arg(&programs.lab)
         .args(["measure-child", "memory"])
-        .args(["--servers", &asked.servers.to_string()])
-        .args(["--held", &asked.held.to_string()])
-        .args(["--requests", &asked.requests.to_string()])
-        .args(["--seed", &asked.seed.to_string()])
+        .args(["--servers", &params.servers.to_string()])
+        .args(["--held", &params.balancers.to_string()])
+        .args(["--requests", &params.requests.to_string()])
+        .args(["--seed", &params.seed.to_string()])
         .output()
-        .map_err(MeasureError::machine("a child that holds balancers"))?;
+        .map_err(MeasureError::io("a child that holds balancers"))?;
     let text = String::from_utf8_lossy(&output.stdout);
-    text.trim().parse().map_err(|_| MeasureError::Child {
-        child: "the child that holds balancers",
+    text.trim().parse().map_err(|_| MeasureError::Unexpected {
+        source_name: "the child that holds balancers",
         found: text.into_owned(),
         expected: "a number of bytes",
     })
--- a/lab/src/measure/mod.rs
+++ b/lab/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Measurements of what grows with the fleet. Each writes series of points for the capacity page: a value against a
-//! size, one point for each play.
+//! Measurements of costs that grow with the fleet. Each writes series of points for the capacity page: a value
+//! against a size, one point for each run.
 
 pub mod decisions;
 pub mod discovery;
@@ -10,7 +10,7 @@
 pub mod relay;
 pub mod request_path;
 pub mod series;
-pub mod stage;
+pub mod testbed;
 pub mod trials;
 
 use crate::real::process::ProcessError;
@@ -18,54 +18,55 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a measurement came to nothing.
+/// Why a measurement failed.
 #[derive(Debug, Error)]
 pub enum MeasureError {
-    /// A process failed.
+    /// A process could not be started or controlled.
     #[error("{0}")]
     Process(#[from] ProcessError),
-    /// The machine refused something.
+    /// A system call failed.
     #[error("{what}: {error}")]
-    Machine {
-        /// What was tried.
+    Io {
+        /// The resource or operation concerned.
         what: &'static str,
-        /// Why it failed.
+        /// The system's error.
         error: io::Error,
     },
-    /// A child said what was not expected of it.
-    #[error("{child}: found {found:?}, expected {expected}")]
-    Child {
-        /// Which child.
-        child: &'static str,
-        /// What it said.
+    /// A child process printed unexpected output, or a load had unexpected results.
+    #[error("{source_name}: found {found:?}, expected {expected}")]
+    Unexpected {
+        /// The child process or load.
+        source_name: &'static str,
+        /// What was found.
         found: String,
         /// What was expected.
         expected: &'static str,
     },
-    /// Something did not happen in time.
-    #[error("{0} did not happen in time")]
-    Late(&'static str),
+    /// A condition was not met before the timeout.
+    #[error("timed out waiting for {0}")]
+    Timeout(&'static str),
 }
 
 impl MeasureError {
-    /// Names what was tried when the machine refused it.
-    pub fn machine(what: &'static str) -> impl Fn(io::Error) -> Self {
-        move |error| Self::Machine { what, error }
+    /// Returns a conversion from `io::Error` that names the resource or operation concerned.
+    pub fn io(what: &'static str) -> impl Fn(io::Error) -> Self {
+        move |error| Self::Io { what, error }
     }
 }
 
-/// The programs that measurements start.
+/// Paths of the programs that measurements start.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The lab's own, which holds its children and plays some of them itself.
+    /// The lab's program, which runs as the supervisor of its children (`hold`) and as some of the children
+    /// themselves.
     pub lab: PathBuf,
-    /// The node's.
+    /// The node's program.
     pub node: PathBuf,
 }
 
 impl Programs {
-    /// The lab's program that runs now, and the node's beside it unless another is named.
-    pub fn beside(node: Option<PathBuf>) -> Self {
+    /// The lab's running program, and the node's program in the same directory unless `node` is given.
+    pub fn locate(node: Option<PathBuf>) -> Self {
         let lab = std::env::current_exe().unwrap_or_else(|_| "walkpick-lab".into());
         let node = node.unwrap_or_else(|| lab.with_file_name("walkpick"));
         Self { lab, node }
--- a/lab/src/measure/relay.rs
+++ b/lab/src/measure/relay.rs
@@ -1,5 +1,5 @@
-//! A bare relay, the measure of what the node's requests cost: it accepts, forwards over a kept connection to each server
-//! in turn, and answers. It decides nothing, waits for nothing and keeps no times.
+//! A bare relay, the baseline for the cost of the node's requests: it accepts, forwards over keep-alive connections
+//! to the servers in turn, and answers. It has no routing decisions, queues or timeouts.
 
 use super::{MeasureError, Programs};
 use http_body_util::{BodyExt, Full};
@@ -24,7 +24,7 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// One server that the relay sends to.
+/// A server that the relay sends to, with its idle connections.
 struct Target {
     address: SocketAddr,
     idle: RefCell<Vec<Sender>>,
@@ -35,7 +35,7 @@
     next: Cell<usize>,
 }
 
-/// The child's part: serves until it is killed, and prints where.
+/// Runs in the child: prints the listening address and serves until it is killed.
 pub fn serve(targets: &[SocketAddr]) -> io::Result<()> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
@@ -51,10 +51,10 @@
 }
 
 async fn connection(stream: TcpStream, targets: Rc<Targets>) {
-    // Without it small answers wait for each other.
+    // Avoids delays of small responses by Nagle's algorithm.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| relay(request, Rc::clone(&targets)));
-    // How a connection ends is its client's affair.
+    // Errors of a connection are seen by its client.
     let _ = server::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
@@ -62,16 +62,16 @@
     request: Request<Incoming>,
     targets: Rc<Targets>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    let place = targets.next.get();
-    targets.next.set((place + 1) % targets.all.len().max(1));
-    let answer = match targets.all.get(place) {
+    let index = targets.next.get();
+    targets.next.set((index + 1) % targets.all.len().max(1));
+    let response = match targets.all.get(index) {
         Some(target) => target.forward(request).await,
         None => None,
     };
-    Ok(answer.unwrap_or_else(|| {
-        let mut answer = Response::new(Full::default());
-        *answer.status_mut() = StatusCode::BAD_GATEWAY;
-        answer
+    Ok(response.unwrap_or_else(|| {
+        let mut response = Response::new(Full::default());
+        *response.status_mut() = StatusCode::BAD_GATEWAY;
+        response
     }))
 }
 
@@ -80,32 +80,32 @@
         let (mut head, body) = request.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
         head.headers.insert(HOST, HeaderValue::from_str(&self.address.to_string()).ok()?);
-        let mut sender = self.sender().await?;
-        let answer = sender.send_request(Request::from_parts(head, Full::new(body))).await.ok()?;
-        let (head, body) = answer.into_parts();
+        let mut sender = self.take_sender().await?;
+        let response = sender.send_request(Request::from_parts(head, Full::new(body))).await.ok()?;
+        let (head, body) = response.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
         self.idle.borrow_mut().push(sender);
         Some(Response::from_parts(head, Full::new(body)))
     }
 
-    /// A kept connection, or a new one.
-    async fn sender(&self) -> Option<Sender> {
+    /// Takes an idle connection, or opens a new one.
+    async fn take_sender(&self) -> Option<Sender> {
         loop {
-            let Some(mut kept) = self.idle.borrow_mut().pop() else { break };
-            if kept.ready().await.is_ok() {
-                return Some(kept);
+            let Some(mut idle_sender) = self.idle.borrow_mut().pop() else { break };
+            if idle_sender.ready().await.is_ok() {
+                return Some(idle_sender);
             }
         }
         let stream = TcpStream::connect(self.address).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        // How it breaks shows at the request.
+        // An error of the connection shows at the request.
         spawn_local(async { drop(connection.await) });
         Some(sender)
     }
 }
 
-/// A relay that runs as a child. Dropped, it is killed.
+/// A relay that runs as a child process. It is killed on drop.
 #[derive(Debug)]
 pub struct Relay {
     child: Child,
@@ -113,39 +113,39 @@
 }
 
 impl Relay {
-    /// Starts one that sends to these.
+    /// Starts a relay to the given servers.
     pub async fn start(programs: &Programs, targets: &[SocketAddr]) -> Result<Self, MeasureError> {
-        let failed = MeasureError::machine("the relay");
+        let failed = MeasureError::io("the relay");
         let mut command = Command::new(&programs.lab);
         command.arg("hold").arg(std::process::id().to_string()).arg(&programs.lab);
         command.args(["measure-child", "relay"]);
         command.args(targets.iter().map(SocketAddr::to_string));
         command.kill_on_drop(true).stdin(Stdio::null()).stdout(Stdio::piped());
         let mut child = command.spawn().map_err(&failed)?;
-        let out = child.stdout.take().ok_or_else(|| failed(io::Error::other("no output")))?;
+        let stdout = child.stdout.take().ok_or_else(|| failed(io::Error::other("no standard output")))?;
         let mut line = String::new();
-        BufReader::new(out).read_line(&mut line).await.map_err(&failed)?;
-        let address = line.trim().parse().map_err(|_| MeasureError::Child {
-            child: "the relay",
+        BufReader::new(stdout).read_line(&mut line).await.map_err(&failed)?;
+        let address = line.trim().parse().map_err(|_| MeasureError::Unexpected {
+            source_name: "the relay",
             found: line.clone(),
-            expected: "where it listens",
+            expected: "a listening address",
         })?;
         Ok(Self { child, address })
     }
 
-    /// Where it listens.
+    /// The listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its process.
+    /// The process id.
     pub fn id(&self) -> i32 {
         self.child.id().and_then(|id| i32::try_from(id).ok()).unwrap_or(0)
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its exit.
     pub async fn stop(mut self) {
-        // It may have ended by itself.
+        // It may have exited by itself.
         let _ = self.child.kill().await;
     }
 }
--- a/lab/src/measure/series.rs
+++ b/lab/src/measure/series.rs
@@ -1,23 +1,23 @@
-//! How series grow while they are measured.
+//! Builds series point by point.
 
 pub use crate::slopes::{Method, Point, Series};
 
-/// A series that grows play by play.
-pub trait Collect {
-    /// One without points; its command is known once all is measured.
+/// Building and summarising a series.
+pub trait SeriesExt {
+    /// Creates a series without points. Its command is filled in after all measurements.
     fn new(name: &str, unit: &str, against: &str, method: Method) -> Self;
 
-    /// Adds a play.
+    /// Adds the result of a run.
     fn push(&mut self, size: f64, value: f64, seed: u64);
 
-    /// The different sizes, in their order.
+    /// The distinct sizes, in ascending order.
     fn sizes(&self) -> Vec<f64>;
 
-    /// The mean value of the plays of a size.
+    /// Mean value over the runs of a size.
     fn mean(&self, size: f64) -> f64;
 }
 
-impl Collect for Series {
+impl SeriesExt for Series {
     fn new(name: &str, unit: &str, against: &str, method: Method) -> Self {
         let (name, unit, against) = (name.to_owned(), unit.to_owned(), against.to_owned());
         Self { name, unit, against, method, command: String::new(), points: Vec::new() }
--- a/lab/src/measure/stage/servers.rs
+++ b/lab/src/measure/testbed/servers.rs
@@ -1,4 +1,4 @@
-//! Stand-in cache servers: each answers as it is told to, and holds nothing.
+//! Stub cache servers, with responses of a chosen size. They store nothing.
 
 use super::super::MeasureError;
 use http_body_util::Full;
@@ -16,123 +16,123 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// What the servers do now.
+/// Whether requests are answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Gate {
     #[default]
     Open,
-    /// Requests are held until it opens.
-    Shut,
+    /// Requests are held until the gate opens.
+    Closed,
 }
 
 #[derive(Debug)]
 struct Shared {
     body: RefCell<Bytes>,
     gate: watch::Sender<Gate>,
-    /// Requests that wait at the gate.
+    /// Number of requests waiting at the gate.
     held: Cell<usize>,
-    /// Places of the servers that say nothing, from the first.
+    /// Servers with a lower index than this do not answer.
     silent: Cell<usize>,
 }
 
-/// A fleet of them, each with a port of its own.
+/// A set of stub servers, each with its own port.
 #[derive(Clone, Debug)]
-pub struct Servers {
+pub struct StubServers {
     addresses: Vec<SocketAddr>,
     shared: Rc<Shared>,
 }
 
-impl Servers {
-    /// Opens so many, whose answers have so many bytes.
-    pub async fn open(count: usize, answer_bytes: usize) -> Result<Self, MeasureError> {
+impl StubServers {
+    /// Starts `count` servers whose responses have `response_bytes` bytes.
+    pub async fn open(count: usize, response_bytes: usize) -> Result<Self, MeasureError> {
         let shared = Rc::new(Shared {
-            body: RefCell::new(Bytes::from(vec![b'v'; answer_bytes])),
+            body: RefCell::new(Bytes::from(vec![b'v'; response_bytes])),
             gate: watch::Sender::default(),
             held: Cell::new(0),
             silent: Cell::new(0),
         });
         let mut addresses = Vec::with_capacity(count);
-        for place in 0..count {
-            let failed = MeasureError::machine("a port for a server");
+        for index in 0..count {
+            let failed = MeasureError::io("a port for a server");
             let listener = TcpListener::bind("127.0.0.1:0").await.map_err(&failed)?;
             addresses.push(listener.local_addr().map_err(&failed)?);
-            spawn_local(accept(listener, place, Rc::clone(&shared)));
+            spawn_local(accept(listener, index, Rc::clone(&shared)));
         }
         Ok(Self { addresses, shared })
     }
 
-    /// Where they listen.
+    /// The listening addresses.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Answers have so many bytes from now on.
-    pub fn answer_with(&self, bytes: usize) {
+    /// Sets the size of all further responses.
+    pub fn set_body_bytes(&self, bytes: usize) {
         *self.shared.body.borrow_mut() = Bytes::from(vec![b'v'; bytes]);
     }
 
-    /// Holds all requests from now on.
+    /// Holds all further requests.
     pub fn hold(&self) {
-        self.shared.gate.send_replace(Gate::Shut);
+        self.shared.gate.send_replace(Gate::Closed);
     }
 
-    /// Answers them again, those held first.
+    /// Answers the held requests, and all further ones.
     pub fn release(&self) {
         self.shared.gate.send_replace(Gate::Open);
     }
 
-    /// Requests that are held.
+    /// Number of requests being held.
     pub fn held(&self) -> usize {
         self.shared.held.get()
     }
 
-    /// The first so many say nothing from now on.
+    /// Makes the first `count` servers stop answering.
     pub fn silence(&self, count: usize) {
         self.shared.silent.set(count);
     }
 }
 
-async fn accept(listener: TcpListener, place: usize, shared: Rc<Shared>) {
+async fn accept(listener: TcpListener, index: usize, shared: Rc<Shared>) {
     while let Ok((stream, _)) = listener.accept().await {
-        spawn_local(connection(stream, place, Rc::clone(&shared)));
+        spawn_local(connection(stream, index, Rc::clone(&shared)));
     }
 }
 
-async fn connection(stream: TcpStream, place: usize, shared: Rc<Shared>) {
-    // Without it small answers wait for each other.
+async fn connection(stream: TcpStream, index: usize, shared: Rc<Shared>) {
+    // Avoids delays of small responses by Nagle's algorithm.
     let _ = stream.set_nodelay(true);
-    let service = service_fn(|_: Request<Incoming>| answer(place, Rc::clone(&shared)));
-    // How a connection ends is the node's affair.
+    let service = service_fn(|_: Request<Incoming>| respond(index, Rc::clone(&shared)));
+    // Errors of a connection are the node's concern.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
-async fn answer(place: usize, shared: Rc<Shared>) -> Result<Response<Full<Bytes>>, Infallible> {
-    if place < shared.silent.get() {
+async fn respond(index: usize, shared: Rc<Shared>) -> Result<Response<Full<Bytes>>, Infallible> {
+    if index < shared.silent.get() {
         std::future::pending::<()>().await;
     }
-    if *shared.gate.borrow() == Gate::Shut {
-        let held = Held::new(Rc::clone(&shared));
+    if *shared.gate.borrow() == Gate::Closed {
+        let held = HeldRequest::new(Rc::clone(&shared));
         let mut gate = shared.gate.subscribe();
-        // The sender lives as long as the servers do.
+        // Cannot fail: the sender is alive as long as the shared state is.
         let _ = gate.wait_for(|gate| *gate == Gate::Open).await;
         drop(held);
     }
-    let mut answer = Response::new(Full::new(shared.body.borrow().clone()));
-    answer.headers_mut().insert("srv-cache", HeaderValue::from_static("hit"));
-    Ok(answer)
+    let mut response = Response::new(Full::new(shared.body.borrow().clone()));
+    response.headers_mut().insert("srv-cache", HeaderValue::from_static("hit"));
+    Ok(response)
 }
 
-/// Counts a request as held for as long as it is.
-struct Held(Rc<Shared>);
+/// Counts a request as held until dropped.
+struct HeldRequest(Rc<Shared>);
 
-impl Held {
+impl HeldRequest {
     fn new(shared: Rc<Shared>) -> Self {
         shared.held.set(shared.held.get() + 1);
         Self(shared)
     }
 }
 
-impl Drop for Held {
+impl Drop for HeldRequest {
     fn drop(&mut self) {
         self.0.held.set(self.0.held.get() - 1);
     }
--- a/lab/src/measure/tests.rs
+++ b/lab/src/measure/tests.rs
@@ -1,5 +1,5 @@
-//! What does not depend on time: series are complete, with at least four sizes and values above zero.
+//! Tests of the measurements' parts, without assertions on how long anything takes.
 
 mod decisions;
-mod stage;
+mod testbed;
 mod trials;
--- a/lab/src/measure/tests/trials.rs
+++ b/lab/src/measure/tests/trials.rs
@@ -1,15 +1,15 @@
-use crate::measure::trials::node_play::{play, Met, Setting, Trouble, BIN};
+use crate::measure::trials::node_simulation::{simulate, Fault, Scenario, ServerLoad, BIN};
 use crate::model::{Micros, SECOND};
 
-fn setting(trouble: Trouble, ends: Micros) -> Setting {
-    Setting {
+fn scenario(fault: Fault, fault_end: Micros) -> Scenario {
+    Scenario {
         nodes: 100,
         servers: 6,
         zones: 2,
         rate: 60.0,
-        trouble,
-        begins: 4 * SECOND,
-        ends,
+        fault,
+        fault_start: 4 * SECOND,
+        fault_end,
         length: 24 * SECOND,
     }
 }
@@ -19,28 +19,29 @@
 }
 
 #[test]
-fn equal_seeds_give_equal_plays() {
-    let setting = setting(Trouble::Silent, 16 * SECOND);
-    assert_eq!(play(&setting, 3), play(&setting, 3));
-    assert_ne!(play(&setting, 3), play(&setting, 4));
+fn equal_seeds_give_equal_results() {
+    let scenario = scenario(Fault::Silent, 16 * SECOND);
+    assert_eq!(simulate(&scenario, 3), simulate(&scenario, 3));
+    assert_ne!(simulate(&scenario, 3), simulate(&scenario, 4));
 }
 
 #[test]
-fn a_silent_server_is_shut_and_only_tried_until_it_is_back() {
-    let Met { requests, shut_after, .. } = play(&setting(Trouble::Silent, 16 * SECOND), 1);
-    let shut_after = shut_after.expect("sixty requests a second over six servers are enough to tell");
-    assert!(shut_after < 10 * SECOND, "{shut_after}");
+fn breaker_of_a_silent_server_opens_and_admits_only_trials_until_it_returns() {
+    let ServerLoad { requests, opened_after, .. } = simulate(&scenario(Fault::Silent, 16 * SECOND), 1);
+    let opened_after =
+        opened_after.expect("sixty requests per second over six servers suffice to open the breaker");
+    assert!(opened_after < 10 * SECOND, "{opened_after}");
     let calm = count(&requests, 0, 4 * SECOND);
     let down = count(&requests, 12 * SECOND, 16 * SECOND);
-    assert!(down * 4 < calm, "{down} of {calm}");
+    assert!(down * 4 < calm, "{down} requests during the outage, {calm} before");
     let back = count(&requests, 20 * SECOND, 24 * SECOND);
-    assert!(back > down, "{back} after its return, {down} before");
+    assert!(back > down, "{back} requests after the return, {down} during the outage");
 }
 
 #[test]
-fn a_restart_breaks_the_connections_and_nothing_is_shut() {
-    let met = play(&setting(Trouble::Restarted, 4 * SECOND), 1);
-    assert_eq!(met.shut_after, None);
-    assert!(count(&met.connections, 4 * SECOND, 6 * SECOND) > 0);
-    assert!(count(&met.requests, 4 * SECOND, 24 * SECOND) > 0);
+fn restart_breaks_connections_without_opening_the_breaker() {
+    let load = simulate(&scenario(Fault::Restarted, 4 * SECOND), 1);
+    assert_eq!(load.opened_after, None);
+    assert!(count(&load.connections, 4 * SECOND, 6 * SECOND) > 0);
+    assert!(count(&load.requests, 4 * SECOND, 24 * SECOND) > 0);
 }
--- a/lab/src/measure/trials/mod.rs
+++ b/lab/src/measure/trials/mod.rs
@@ -1,152 +1,153 @@
-//! What all nodes together ask of one server that is down, cold or returning, and how soon a node has shut one that
-//! fails: simulated, each node by itself, with requests spread unevenly over the nodes.
+//! Load that all nodes together put on one server that is down, cold or returning, and how soon a node opens the
+//! breaker of a failing server. Each node is simulated on its own, and the request rates differ between nodes.
 
-pub mod node_play;
+pub mod node_simulation;
 
-use super::series::{Collect, Method, Series};
+use super::series::{Method, Series, SeriesExt};
 use crate::model::{Micros, SECOND};
-use node_play::{play, Met, Setting, Trouble, BIN};
+use node_simulation::{simulate, Fault, Scenario, ServerLoad, BIN};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Cache servers and zones of the plan.
+/// Cache servers and zones of the planned fleet.
 const SERVERS: usize = 110;
 const ZONES: usize = 19;
-/// Requests a second of a node, on the mean: the plan's 400,000 over 530 nodes.
+/// Mean requests per second of a node: the planned fleet's 400,000 over 530 nodes.
 const MEAN_RATE: f64 = 755.0;
-/// Rates of a tenth of the nodes each, as parts of the mean: sites differ much. The first is the cold node, the last the
-/// hot one.
-const SPREAD: [f64; 10] = [0.1, 0.2, 0.3, 0.45, 0.6, 0.8, 1.0, 1.25, 1.8, 3.5];
+/// Request rates as multiples of the mean, each for a tenth of the nodes, since traffic differs much between sites.
+/// The first is the cold node's, the last the hot node's.
+const RATE_FACTORS: [f64; 10] = [0.1, 0.2, 0.3, 0.45, 0.6, 0.8, 1.0, 1.25, 1.8, 3.5];
 const COLD: usize = 0;
-const HOT: usize = SPREAD.len() - 1;
-/// Nodes meet their servers for so long before anything happens.
-const LEAD: Micros = 8 * SECOND;
-/// A server that is down says nothing for so long.
-const DOWN: Micros = 20 * SECOND;
-/// By then each node that will shut it soon has done so: what comes afterwards are trials.
-const SHUT_BY: Micros = 10 * SECOND;
-/// How long after a start or a return it is looked at.
-const AFTER: Micros = 12 * SECOND;
-/// The size at which a node's own rate is told as well.
+const HOT: usize = RATE_FACTORS.len() - 1;
+/// Time of normal operation before the fault.
+const WARM_UP: Micros = 8 * SECOND;
+/// Duration of the outage of a silent server.
+const OUTAGE: Micros = 20 * SECOND;
+/// Time after which every node that opens the breaker early has done so: later requests of the outage are trials.
+const TRIALS_FROM: Micros = 10 * SECOND;
+/// How long the server is observed after a restart or the end of an outage.
+const OBSERVATION: Micros = 12 * SECOND;
+/// The fleet size at which results by a node's own rate are reported too.
 const PLAN_NODES: u32 = 530;
 
-/// How much is played.
+/// Parameters of the measurement.
 #[derive(Clone, Debug)]
-pub struct Effort {
-    /// Numbers of nodes.
+pub struct Params {
+    /// Numbers of nodes in the fleet.
     pub nodes: Vec<u32>,
-    /// Nodes that are played of each number, a tenth of them at each rate; they stand for the others.
-    pub played: usize,
-    /// Plays of each size.
+    /// Nodes simulated for each fleet size, a tenth of them at each rate; their load is scaled up to the whole fleet.
+    pub sampled: usize,
+    /// Runs of each size.
     pub seeds: u64,
-    /// Plays at once.
+    /// Runs in parallel.
     pub jobs: usize,
-    /// Part of the servers, zones and rate that is played.
-    pub part: f64,
+    /// Scale of the numbers of servers and zones and of the request rate.
+    pub scale: f64,
 }
 
-impl Default for Effort {
+impl Default for Params {
     fn default() -> Self {
-        Self { nodes: vec![66, 132, 265, 530, 1_060], played: 60, seeds: 3, jobs: 2, part: 1.0 }
+        Self { nodes: vec![66, 132, 265, 530, 1_060], sampled: 60, seeds: 3, jobs: 2, scale: 1.0 }
     }
 }
 
-/// One node of one play.
+/// The simulation of one node in one run.
 #[derive(Clone, Copy, Debug)]
 struct Task {
     nodes: u32,
-    trouble: Trouble,
+    fault: Fault,
     seed: u64,
-    /// Which of those that are played.
-    place: usize,
-    played: usize,
+    /// Index among the simulated nodes.
+    index: usize,
+    sampled: usize,
 }
 
 impl Task {
-    fn rate_place(&self) -> usize {
-        self.place * SPREAD.len() / self.played
+    fn rate_index(&self) -> usize {
+        self.index * RATE_FACTORS.len() / self.sampled
     }
 
-    fn play(&self, part: f64) -> Met {
-        let (ends, length) = match self.trouble {
-            Trouble::Silent => (LEAD + DOWN, LEAD + DOWN + AFTER),
-            Trouble::Restarted => (LEAD, LEAD + AFTER),
+    fn simulate(&self, scale: f64) -> ServerLoad {
+        let (fault_end, length) = match self.fault {
+            Fault::Silent => (WARM_UP + OUTAGE, WARM_UP + OUTAGE + OBSERVATION),
+            Fault::Restarted => (WARM_UP, WARM_UP + OBSERVATION),
         };
-        let setting = Setting {
+        let scenario = Scenario {
             nodes: self.nodes,
-            servers: ((SERVERS as f64 * part).ceil() as usize).max(4),
-            zones: ((ZONES as f64 * part).ceil() as usize).max(2),
-            rate: MEAN_RATE * part * SPREAD[self.rate_place()],
-            trouble: self.trouble,
-            begins: LEAD,
-            ends,
+            servers: ((SERVERS as f64 * scale).ceil() as usize).max(4),
+            zones: ((ZONES as f64 * scale).ceil() as usize).max(2),
+            rate: MEAN_RATE * scale * RATE_FACTORS[self.rate_index()],
+            fault: self.fault,
+            fault_start: WARM_UP,
+            fault_end,
             length,
         };
-        let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (self.place as u64) << 20;
-        play(&setting, seed ^ u64::from(self.nodes))
+        let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (self.index as u64) << 20;
+        simulate(&scenario, seed ^ u64::from(self.nodes))
     }
 }
 
-/// What one server met from all nodes, in one play.
-struct Sum {
+/// Load from all nodes on the failing server in one run, by time bin.
+struct FleetLoad {
     requests: Vec<f64>,
     connections: Vec<f64>,
 }
 
-impl Sum {
-    fn new(plays: &[(Task, Met)], nodes: u32) -> Self {
-        let weight = f64::from(nodes) / plays.len().max(1) as f64;
-        let sum = |of: fn(&Met) -> &[u32]| {
-            let bins = plays.iter().map(|(_, met)| of(met).len()).max().unwrap_or(0);
-            let one = |bin: usize| plays.iter().map(|(_, met)| f64::from(of(met)[bin])).sum::<f64>();
-            (0..bins).map(|bin| one(bin) * weight).collect::<Vec<_>>()
+impl FleetLoad {
+    fn new(runs: &[(Task, ServerLoad)], nodes: u32) -> Self {
+        let weight = f64::from(nodes) / runs.len().max(1) as f64;
+        let sum = |select: fn(&ServerLoad) -> &[u32]| {
+            let bins = runs.iter().map(|(_, load)| select(load).len()).max().unwrap_or(0);
+            let bin_total =
+                |bin: usize| runs.iter().map(|(_, load)| f64::from(select(load)[bin])).sum::<f64>();
+            (0..bins).map(|bin| bin_total(bin) * weight).collect::<Vec<_>>()
         };
-        Self { requests: sum(|met| &met.requests), connections: sum(|met| &met.connections) }
+        Self { requests: sum(|load| &load.requests), connections: sum(|load| &load.connections) }
     }
 }
 
-/// A second's count, on the mean, from `from` to `to`.
+/// Mean count per second from `from` to `to`.
 fn mean(bins: &[f64], from: Micros, to: Micros) -> f64 {
-    let span = &bins[(from / BIN) as usize..(to / BIN) as usize];
-    span.iter().sum::<f64>() / ((to - from) as f64 / SECOND as f64)
+    let range = &bins[(from / BIN) as usize..(to / BIN) as usize];
+    range.iter().sum::<f64>() / ((to - from) as f64 / SECOND as f64)
 }
 
-/// The largest count of any second within that time.
+/// Largest count in any second from `from` to `to`.
 fn largest(bins: &[f64], from: Micros, to: Micros) -> f64 {
-    let span = &bins[(from / BIN) as usize..(to / BIN) as usize];
+    let range = &bins[(from / BIN) as usize..(to / BIN) as usize];
     let second = (SECOND / BIN) as usize;
-    span.windows(second).map(|bins| bins.iter().sum::<f64>()).fold(0.0, f64::max)
+    range.windows(second).map(|bins| bins.iter().sum::<f64>()).fold(0.0, f64::max)
 }
 
-/// All series of trials.
-pub fn measure(effort: &Effort) -> Vec<Series> {
-    let mut collected = Collected::new();
-    for &nodes in &effort.nodes {
-        for seed in 1..=effort.seeds {
-            let plays = play_all(effort, nodes, seed);
+/// Measures all series of trials.
+pub fn measure(params: &Params) -> Vec<Series> {
+    let mut series = SeriesSet::new();
+    for &nodes in &params.nodes {
+        for seed in 1..=params.seeds {
+            let runs = simulate_all(params, nodes, seed);
             let (silent, restarted): (Vec<_>, Vec<_>) =
-                plays.into_iter().partition(|(task, _)| task.trouble == Trouble::Silent);
-            collected.silent(&silent, nodes, seed);
-            collected.restarted(&restarted, nodes, seed);
-            if nodes == PLAN_NODES || !effort.nodes.contains(&PLAN_NODES) {
-                collected.by_rate(&silent, effort.part, seed);
+                runs.into_iter().partition(|(task, _)| task.fault == Fault::Silent);
+            series.add_silent(&silent, nodes, seed);
+            series.add_restarted(&restarted, nodes, seed);
+            if nodes == PLAN_NODES || !params.nodes.contains(&PLAN_NODES) {
+                series.add_by_rate(&silent, params.scale, seed);
             }
         }
     }
-    collected.into_series()
+    series.into_series()
 }
 
-fn play_all(effort: &Effort, nodes: u32, seed: u64) -> Vec<(Task, Met)> {
-    let played = effort.played;
-    let of = |trouble| (0..played).map(move |place| Task { nodes, trouble, seed, place, played });
-    let tasks: Vec<_> = of(Trouble::Silent).chain(of(Trouble::Restarted)).collect();
+fn simulate_all(params: &Params, nodes: u32, seed: u64) -> Vec<(Task, ServerLoad)> {
+    let sampled = params.sampled;
+    let tasks_for = |fault| (0..sampled).map(move |index| Task { nodes, fault, seed, index, sampled });
+    let tasks: Vec<_> = tasks_for(Fault::Silent).chain(tasks_for(Fault::Restarted)).collect();
     let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
-        for _ in 0..effort.jobs.max(1) {
+        for _ in 0..params.jobs.max(1) {
             scope.spawn(|| {
                 while let Some(task) = tasks.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let met = task.play(effort.part);
-                    done.lock().unwrap_or_else(PoisonError::into_inner).push((*task, met));
+                    let load = task.simulate(params.scale);
+                    done.lock().unwrap_or_else(PoisonError::into_inner).push((*task, load));
                 }
             });
         }
@@ -154,67 +155,80 @@
     done.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The series, as they grow.
-struct Collected {
+/// The series under construction.
+struct SeriesSet {
     all: Vec<Series>,
 }
 
-impl Collected {
+impl SeriesSet {
     fn new() -> Self {
         Self { all: Vec::new() }
     }
 
     fn add(&mut self, name: &str, unit: &str, against: &str, size: f64, value: f64, seed: u64) {
-        let place = self.all.iter().position(|series| series.name == name);
-        let place = place.unwrap_or_else(|| {
+        let index = self.all.iter().position(|series| series.name == name);
+        let index = index.unwrap_or_else(|| {
             self.all.push(Series::new(name, unit, against, Method::Simulated));
             self.all.len() - 1
         });
-        self.all[place].push(size, value, seed);
+        self.all[index].push(size, value, seed);
     }
 
-    fn against_nodes(&mut self, name: &str, unit: &str, nodes: u32, value: f64, seed: u64) {
+    fn add_by_nodes(&mut self, name: &str, unit: &str, nodes: u32, value: f64, seed: u64) {
         self.add(name, unit, "nodes", nodes.into(), value, seed);
     }
 
-    /// Mean and largest second of requests and connections within a time.
-    fn rates(&mut self, what: &str, sum: &Sum, (from, to): (Micros, Micros), nodes: u32, seed: u64) {
-        for (kind, bins) in [("requests", &sum.requests), ("connections", &sum.connections)] {
+    /// Adds the mean and the largest rate per second of requests and connections within the time range.
+    fn add_rates(
+        &mut self,
+        what: &str,
+        load: &FleetLoad,
+        (from, to): (Micros, Micros),
+        nodes: u32,
+        seed: u64,
+    ) {
+        for (kind, bins) in [("requests", &load.requests), ("connections", &load.connections)] {
             let name = format!("trials.{kind}_per_second.{what}");
-            self.against_nodes(&name, "1/s", nodes, mean(bins, from, to), seed);
-            self.against_nodes(&format!("{name}.largest"), "1/s", nodes, largest(bins, from, to), seed);
+            self.add_by_nodes(&name, "1/s", nodes, mean(bins, from, to), seed);
+            self.add_by_nodes(&format!("{name}.largest"), "1/s", nodes, largest(bins, from, to), seed);
         }
     }
 
-    fn silent(&mut self, plays: &[(Task, Met)], nodes: u32, seed: u64) {
-        let sum = Sum::new(plays, nodes);
-        let back = LEAD + DOWN;
-        self.rates("calm", &sum, (LEAD / 2, LEAD), nodes, seed);
-        self.rates("failing", &sum, (LEAD, LEAD + SHUT_BY), nodes, seed);
-        self.rates("down", &sum, (LEAD + SHUT_BY, back), nodes, seed);
-        self.rates("returning", &sum, (back, back + AFTER), nodes, seed);
+    fn add_silent(&mut self, runs: &[(Task, ServerLoad)], nodes: u32, seed: u64) {
+        let load = FleetLoad::new(runs, nodes);
+        let outage_end = WARM_UP + OUTAGE;
+        self.add_rates("calm", &load, (WARM_UP / 2, WARM_UP), nodes, seed);
+        self.add_rates("failing", &load, (WARM_UP, WARM_UP + TRIALS_FROM), nodes, seed);
+        self.add_rates("down", &load, (WARM_UP + TRIALS_FROM, outage_end), nodes, seed);
+        self.add_rates("returning", &load, (outage_end, outage_end + OBSERVATION), nodes, seed);
         for (name, rate) in [("hot", HOT), ("cold", COLD)] {
-            let (seconds, open) = shut(plays, rate);
-            self.against_nodes(&format!("trials.seconds_to_shut.{name}"), "s", nodes, seconds, seed);
-            self.against_nodes(&format!("trials.never_shut.{name}"), "part of nodes", nodes, open, seed);
+            let (seconds, never_opened) = time_to_open(runs, rate);
+            self.add_by_nodes(&format!("trials.seconds_to_shut.{name}"), "s", nodes, seconds, seed);
+            self.add_by_nodes(
+                &format!("trials.never_shut.{name}"),
+                "part of nodes",
+                nodes,
+                never_opened,
+                seed,
+            );
         }
     }
 
-    fn restarted(&mut self, plays: &[(Task, Met)], nodes: u32, seed: u64) {
-        self.rates("cold", &Sum::new(plays, nodes), (LEAD, LEAD + AFTER), nodes, seed);
+    fn add_restarted(&mut self, runs: &[(Task, ServerLoad)], nodes: u32, seed: u64) {
+        self.add_rates("cold", &FleetLoad::new(runs, nodes), (WARM_UP, WARM_UP + OBSERVATION), nodes, seed);
     }
 
-    /// What one node does, by its own rate.
-    fn by_rate(&mut self, plays: &[(Task, Met)], part: f64, seed: u64) {
-        for (place, spread) in SPREAD.iter().enumerate() {
-            let rate = MEAN_RATE * part * spread;
-            let same: Vec<_> = plays.iter().filter(|(task, _)| task.rate_place() == place).cloned().collect();
-            let (seconds, _) = shut(&same, place);
-            let sum = Sum::new(&same, 1);
-            let asked = mean(&sum.requests, LEAD + SHUT_BY, LEAD + DOWN);
+    /// Adds the results of a node by its own request rate.
+    fn add_by_rate(&mut self, runs: &[(Task, ServerLoad)], scale: f64, seed: u64) {
+        for (index, factor) in RATE_FACTORS.iter().enumerate() {
+            let rate = MEAN_RATE * scale * factor;
+            let same: Vec<_> = runs.iter().filter(|(task, _)| task.rate_index() == index).cloned().collect();
+            let (seconds, _) = time_to_open(&same, index);
+            let load = FleetLoad::new(&same, 1);
+            let requests = mean(&load.requests, WARM_UP + TRIALS_FROM, WARM_UP + OUTAGE);
             let against = "requests a second of the node";
             self.add("trials.seconds_to_shut.by_rate", "s", against, rate, seconds, seed);
-            self.add("trials.requests_per_second.down_by_rate", "1/s", against, rate, asked, seed);
+            self.add("trials.requests_per_second.down_by_rate", "1/s", against, rate, requests, seed);
         }
     }
 
@@ -223,13 +237,13 @@
     }
 }
 
-/// Seconds until the nodes of a rate had shut the server, on the mean, and the part of them that never did while it was
-/// down: they count with all of that time.
-fn shut(plays: &[(Task, Met)], rate: usize) -> (f64, f64) {
-    let within = |met: &Met| met.shut_after.filter(|after| *after < DOWN);
-    let met: Vec<_> =
-        plays.iter().filter(|(task, _)| task.rate_place() == rate).map(|(_, met)| within(met)).collect();
-    let count = met.len().max(1) as f64;
-    let seconds = met.iter().map(|after| after.unwrap_or(DOWN) as f64 / SECOND as f64).sum::<f64>();
-    (seconds / count, met.iter().filter(|after| after.is_none()).count() as f64 / count)
+/// Mean seconds until the nodes of a rate opened the server's breaker, and the part of them that did not during the
+/// outage: they count with its whole duration.
+fn time_to_open(runs: &[(Task, ServerLoad)], rate: usize) -> (f64, f64) {
+    let within = |load: &ServerLoad| load.opened_after.filter(|after| *after < OUTAGE);
+    let load: Vec<_> =
+        runs.iter().filter(|(task, _)| task.rate_index() == rate).map(|(_, load)| within(load)).collect();
+    let count = load.len().max(1) as f64;
+    let seconds = load.iter().map(|after| after.unwrap_or(OUTAGE) as f64 / SECOND as f64).sum::<f64>();
+    (seconds / count, load.iter().filter(|after| after.is_none()).count() as f64 / count)
 }
