--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -1,44 +1,46 @@
-//! What a cold server gets from all nodes together, over generated deployments and traffic (fixed seeds).
+//! The load that all nodes together send to a cold server, over generated deployments and traffic (fixed seeds).
 
 mod common;
 use common::*;
 use std::time::Duration;
 use walkpick::*;
 
-/// The mean work of a request, as time on a standard core.
+/// The mean work of a request, in time on a standard core.
 const MEAN_WORK: Duration = Duration::from_millis(50);
 const SERVERS: u8 = 10;
-/// Servers that start anew together.
-const COLD: u8 = 3;
-/// Requests of mean work that a warm server does in a second.
-const CAPACITY: f64 = 20.0;
+/// The number of servers that restart at the same time.
+const COLD_SERVERS: u8 = 3;
+/// Requests of mean work that a warm server can process per second.
+const CAPACITY_PER_S: f64 = 20.0;
 
-/// What a deployment is like when servers start.
+/// A deployment in which servers start.
 #[derive(Clone, Copy, Debug)]
-struct World {
+struct Scenario {
     nodes: usize,
-    /// One node in ten gets ten times what the others get.
-    uneven: bool,
-    /// Nodes are told up to so long after the start.
-    late: Duration,
-    /// All nodes start with the servers, and know no answer yet.
-    fresh: bool,
-    /// Requests differ in their work, and announce it.
-    spread: bool,
-    /// Of what the warm fleet can do.
+    /// One node in ten gets ten times the traffic of the others.
+    uneven_traffic: bool,
+    /// The maximum delay between the start and its notification to a node.
+    max_notify_delay: Duration,
+    /// All nodes start together with the servers and have no responses yet.
+    nodes_start_too: bool,
+    /// Requests differ in their work and carry a hint of it.
+    varied_work: bool,
+    /// The offered load as a fraction of the warm fleet's capacity.
     load: f64,
     seed: u64,
 }
 
-/// The most that any cold server got within a span, against what it was due then (N + 2 x root of N + 2), and how much
-/// of the requests went to cold servers.
-fn play(world: World) -> (f64, f64) {
-    let World { nodes: count, uneven, late, fresh, spread, load, seed } = world;
+/// Returns two figures: the highest load of any cold server within an overload window, as a fraction of the allowed
+/// bound (N + 2 x sqrt(N) + 2, where N is `overload_multiple` times the server's capacity in that window), and the
+/// share of all requests that went to cold servers.
+fn run_scenario(scenario: Scenario) -> (f64, f64) {
+    let Scenario { nodes: count, uneven_traffic, max_notify_delay, nodes_start_too, varied_work, load, seed } =
+        scenario;
     let mut rng = fastrand::Rng::with_seed(seed);
     let settings = Settings { nodes: count as u32, ..settings() };
     let names: Vec<String> = (0..SERVERS).map(|i| char::from(b'a' + i).to_string()).collect();
-    let list = |born: Option<Timestamp>| {
-        let started = |i: usize| born.filter(|_| i < usize::from(COLD));
+    let list = |started_at: Option<Timestamp>| {
+        let started = |i: usize| started_at.filter(|_| i < usize::from(COLD_SERVERS));
         let entry =
             |(i, name): (usize, &String)| ServerEntry { started: started(i), ..ServerEntry::new(name) };
         names.iter().enumerate().map(entry).collect::<Vec<_>>()
@@ -46,31 +48,31 @@
     let node = |i: usize| Node::new(settings.clone(), seed ^ (i as u64) << 20);
     let mut nodes: Vec<Node> = (0..count).map(node).collect();
     let start = nodes[0].now;
-    let born = start + Duration::from_secs(if fresh { 0 } else { 4 });
-    let told: Vec<_> = (0..count).map(|_| born + late.mul_f64(rng.f64())).collect();
-    nodes.iter_mut().for_each(|node| node.full_list(list(fresh.then_some(born))));
-    let weight = |i: usize| if uneven && i.is_multiple_of(10) { 10.0 } else { 1.0 };
+    let started_at = start + Duration::from_secs(if nodes_start_too { 0 } else { 4 });
+    let notified_at: Vec<_> = (0..count).map(|_| started_at + max_notify_delay.mul_f64(rng.f64())).collect();
+    nodes.iter_mut().for_each(|node| node.replace_servers(list(nodes_start_too.then_some(started_at))));
+    let weight = |i: usize| if uneven_traffic && i.is_multiple_of(10) { 10.0 } else { 1.0 };
     let weights: Vec<f64> = (0..count).map(weight).collect();
     let total: f64 = weights.iter().sum();
-    let rate = load * CAPACITY * f64::from(SERVERS);
-    let mut sent: Vec<Vec<(Timestamp, f64)>> = vec![Vec::new(); COLD.into()];
+    let rate = load * CAPACITY_PER_S * f64::from(SERVERS);
+    let mut sent: Vec<Vec<(Timestamp, f64)>> = vec![Vec::new(); COLD_SERVERS.into()];
     let (mut now, mut all) = (start, 0);
-    while now.since(born) < settings.warm_within {
+    while now.since(started_at) < settings.warm_within {
         now = now + Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / rate);
-        let mut place = rng.f64() * total;
-        let by = weights.iter().position(|weight| {
-            place -= weight;
-            place <= 0.0
+        let mut remaining = rng.f64() * total;
+        let chosen = weights.iter().position(|weight| {
+            remaining -= weight;
+            remaining <= 0.0
         });
-        let i = by.unwrap_or(count - 1);
+        let i = chosen.unwrap_or(count - 1);
         let node = &mut nodes[i];
-        node.pass(now.since(node.now));
-        if now >= told[i] && node.list[&ServerId::from("a")].started.is_none() {
-            node.changes(list(Some(born)));
+        node.advance(now.since(node.now));
+        if now >= notified_at[i] && node.servers[&ServerId::from("a")].started.is_none() {
+            node.update_servers(list(Some(started_at)));
         }
-        // Popular keys, of which a tenth of the requests is for one.
+        // 500 popular keys; a tenth of the requests are for one of them.
         let key = if rng.u8(..10) == 0 { 7 } else { rng.u64(..500) };
-        let work = if spread { -(1.0 - rng.f64()).ln() } else { 1.0 };
+        let work = if varied_work { -(1.0 - rng.f64()).ln() } else { 1.0 };
         let request = Request {
             class: Some(ClassId(0)),
             key: Some(key),
@@ -79,65 +81,75 @@
         };
         let id = node.submit(request);
         all += 1;
-        // An attempt in ten fails and is tried again: what is sent then counts as well.
-        while let Some((_, server)) = node.out(&id) {
-            let cold = names.iter().take(COLD.into()).position(|name| server.as_str() == name);
-            if let Some(cold) = cold.filter(|_| node.list[&ServerId::from("a")].started.is_some()) {
+        // One attempt in ten fails and is retried; retries count as well.
+        while let Some((_, server)) = node.in_flight(&id) {
+            let cold = names.iter().take(COLD_SERVERS.into()).position(|name| server.as_str() == name);
+            if let Some(cold) = cold.filter(|_| node.servers[&ServerId::from("a")].started.is_some()) {
                 sent[cold].push((now, work));
             }
             let status = if rng.u8(..10) == 0 { Status::Failed } else { Status::Ok };
-            node.answer(&id, status);
+            node.complete(&id, status);
         }
         node.requests.clear();
     }
-    let most = sent.iter().flat_map(|sent| (0..sent.len()).map(|i| overdone(&settings, born, &sent[i..])));
+    let loads = sent
+        .iter()
+        .flat_map(|sent| (0..sent.len()).map(|i| load_over_bound(&settings, started_at, &sent[i..])));
     let to_cold = sent.iter().map(Vec::len).sum::<usize>();
-    (most.fold(0.0, f64::max), to_cold as f64 / f64::from(all))
+    (loads.fold(0.0, f64::max), to_cold as f64 / f64::from(all))
 }
 
-/// What came within a span that begins with the first of these, against what was due.
-fn overdone(settings: &Settings, born: Timestamp, sent: &[(Timestamp, f64)]) -> f64 {
+/// The work sent within the overload window that starts with the first element of `sent`, divided by the allowed bound.
+fn load_over_bound(settings: &Settings, started_at: Timestamp, sent: &[(Timestamp, f64)]) -> f64 {
     let from = sent[0].0;
     let within = sent.iter().take_while(|(at, _)| at.since(from) <= settings.overload_window);
-    let age = from.since(born).as_secs_f64() / settings.warm_within.as_secs_f64();
-    let able = CAPACITY * (settings.cold_share + (1.0 - settings.cold_share) * age.min(1.0));
-    let due = settings.overload_multiple * able * settings.overload_window.as_secs_f64();
-    within.map(|(_, work)| work).sum::<f64>() / (due + 2.0 * due.sqrt() + 2.0)
+    let age = from.since(started_at).as_secs_f64() / settings.warm_within.as_secs_f64();
+    let capacity = CAPACITY_PER_S * (settings.cold_share + (1.0 - settings.cold_share) * age.min(1.0));
+    let max_expected = settings.overload_multiple * capacity * settings.overload_window.as_secs_f64();
+    within.map(|(_, work)| work).sum::<f64>() / (max_expected + 2.0 * max_expected.sqrt() + 2.0)
 }
 
-// Guards against a cold server that falls under the sum of what all nodes send it.
+/// Guards against a cold server that is overloaded by the sum of what all nodes send it.
 #[test]
-fn all_nodes_together_keep_to_what_a_cold_server_is_due() {
-    let mut worst = Vec::new();
+fn all_nodes_together_stay_within_a_cold_servers_capacity() {
+    let mut results = Vec::new();
     for nodes in [2, 20, 30, 350] {
         for bits in 0..16 {
             let bit = |n: u32| bits & (1 << n) != 0;
-            let late = if bit(1) { ms(3_000) } else { ms(0) };
+            let max_notify_delay = if bit(1) { ms(3_000) } else { ms(0) };
             for (load, seed) in [(0.5, 1), (0.95, 2)] {
-                let world = World { nodes, uneven: bit(0), late, fresh: bit(2), spread: bit(3), load, seed };
-                let (most, to_cold) = play(world);
-                worst.push((most, to_cold, world));
+                let scenario = Scenario {
+                    nodes,
+                    uneven_traffic: bit(0),
+                    max_notify_delay,
+                    nodes_start_too: bit(2),
+                    varied_work: bit(3),
+                    load,
+                    seed,
+                };
+                let (max_load, to_cold) = run_scenario(scenario);
+                results.push((max_load, to_cold, scenario));
             }
         }
     }
-    worst.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (most, to_cold, world) in &worst[..6] {
-        println!("{most:.2} of what is due, {to_cold:.2} of the requests to cold servers: {world:?}");
+    results.sort_by(|a, b| b.0.total_cmp(&a.0));
+    for (max_load, to_cold, scenario) in &results[..6] {
+        println!("{max_load:.2} of the bound, {to_cold:.2} of the requests to cold servers: {scenario:?}");
     }
-    assert!(worst[0].0 <= 1.0, "{:?}", worst[0]);
-    // Kept to by sending them nothing would be no ramp.
-    let idle = worst.iter().filter(|(_, to_cold, _)| *to_cold < 0.03).count();
-    assert_eq!(idle, 0, "worlds whose cold servers got next to nothing");
+    assert!(results[0].0 <= 1.0, "{:?}", results[0]);
+    // The bound must not be met by sending cold servers no requests.
+    let idle = results.iter().filter(|(_, to_cold, _)| *to_cold < 0.03).count();
+    assert_eq!(idle, 0, "scenarios whose cold servers got almost no requests");
 }
 
-// Guards against one request of many times the usual work that pushes a cold server over by itself.
+/// Guards against one request of many times the usual work that overloads a cold server by itself.
 #[test]
-fn a_heavy_request_passes_a_cold_server_by() {
+fn a_heavy_request_is_not_sent_to_a_cold_server() {
     let settings = settings();
     let mut node = Node::new(settings.clone(), 1);
     let mut entries: Vec<_> = ["a", "b", "c"].iter().map(|name| ServerEntry::new(name)).collect();
-    node.full_list(entries.clone());
-    let ask = |node: &mut Node, key: u64, work: Duration| {
+    node.replace_servers(entries.clone());
+    let read = |node: &mut Node, key: u64, work: Duration| {
         let valid_until = node.now + ms(400);
         let request = Request {
             class: Some(ClassId(0)),
@@ -146,46 +158,46 @@
             ..Request::new(&format!("{}", node.now.as_micros()), valid_until)
         };
         let id = node.submit(request);
-        let (_, server) = node.out(&id).expect("sent");
-        node.pass(ms(5));
-        node.answer(&id, Status::Ok);
+        let (_, server) = node.in_flight(&id).expect("sent");
+        node.advance(ms(5));
+        node.complete(&id, Status::Ok);
         server
     };
     for key in 0..400 {
-        ask(&mut node, key, MEAN_WORK);
+        read(&mut node, key, MEAN_WORK);
     }
-    let born = node.now;
-    entries[0].started = Some(born);
-    node.changes(entries);
+    let started_at = node.now;
+    entries[0].started = Some(started_at);
+    node.update_servers(entries);
     let (mut light, mut heavy) = (0, 0);
     for key in 0..1_800 {
-        light += u32::from(ask(&mut node, key, MEAN_WORK).as_str() == "a");
-        // So few that they hardly move the mean.
+        light += u32::from(read(&mut node, key, MEAN_WORK).as_str() == "a");
+        // So few that they hardly change the mean work.
         if key % 100 == 0 {
-            heavy += u32::from(ask(&mut node, key, MEAN_WORK * 64).as_str() == "a");
+            heavy += u32::from(read(&mut node, key, MEAN_WORK * 64).as_str() == "a");
         }
-        assert!(node.now.since(born) < settings.warm_within);
+        assert!(node.now.since(started_at) < settings.warm_within);
     }
-    assert!(light > 20, "{light} usual ones went there");
-    assert_eq!(heavy, 0, "what is 64 times as heavy did not");
+    assert!(light > 20, "{light} requests of mean work went to the cold server");
+    assert_eq!(heavy, 0, "requests of 64 times the mean work went to the cold server");
 }
 
-/// Requests of mean work that a server got which starts beside two old ones, within `settings.overload_window` of the list that
-/// tells of it, where its start is told as so long before (or after) the moment.
-fn sent_to_a_fresh_one(told_age_ms: i64) -> usize {
+/// Lets one of three servers restart and returns how many requests it gets within `settings.overload_window` after the
+/// notification. The notification says that the server started `reported_age_ms` ago (in the future if negative).
+fn sent_to_a_restarted_server(reported_age_ms: i64) -> usize {
     let settings = settings();
     let mut node = Node::new(settings.clone(), 1);
     let mut entries: Vec<_> = ["a", "b", "c"].iter().map(|name| ServerEntry::new(name)).collect();
-    // The made-up clock begins too early for a start an hour ago.
-    node.pass(Duration::from_secs(7_200));
-    node.full_list(entries.clone());
+    // The simulated clock starts at 3000 s: too early for a start an hour ago.
+    node.advance(Duration::from_secs(7_200));
+    node.replace_servers(entries.clone());
     for _ in 0..40 {
-        node.pass(ms(100));
-        node.changes(Vec::new());
+        node.advance(ms(100));
+        node.update_servers(Vec::new());
     }
-    let micros = node.now.as_micros().checked_add_signed(-told_age_ms * 1_000).unwrap();
+    let micros = node.now.as_micros().checked_add_signed(-reported_age_ms * 1_000).unwrap();
     entries[0].started = Some(Timestamp::from_micros(micros));
-    node.changes(entries);
+    node.update_servers(entries);
     let first = node.now;
     let mut sent = 0;
     for key in 0.. {
@@ -193,65 +205,66 @@
             return sent;
         }
         let id = node.request(0, key, ms(400));
-        let (_, server) = node.out(&id).expect("sent");
+        let (_, server) = node.in_flight(&id).expect("sent");
         sent += usize::from(server.as_str() == "a");
-        node.pass(ms(2));
-        node.answer(&id, Status::Ok);
+        node.advance(ms(2));
+        node.complete(&id, Status::Ok);
     }
-    unreachable!("the span ends")
+    unreachable!("the window ends")
 }
 
-/// Of 200 requests for different keys, how many go to server `a`.
-fn served_by_a(node: &mut Node) -> usize {
-    let to_it = (0..200).filter(|&key| {
+/// Sends 200 requests for different keys and returns how many go to server `a`.
+fn sent_to_a(node: &mut Node) -> usize {
+    let to_a = (0..200).filter(|&key| {
         let id = node.request(0, key, ms(400));
-        let (_, server) = node.out(&id).expect("sent");
-        node.pass(ms(10));
-        node.answer(&id, Status::Ok);
+        let (_, server) = node.in_flight(&id).expect("sent");
+        node.advance(ms(10));
+        node.complete(&id, Status::Ok);
         server.as_str() == "a"
     });
-    to_it.count()
+    to_a.count()
 }
 
-// Guards against a wall clock that was stepped by an hour, here or where starts are told: a server that has just started
-// must not pass for warm, nor for cold without an end.
+/// Guards against a wall clock that was stepped, by up to an hour, on the node or where start times are recorded: a
+/// server that has just started must not count as warm, nor stay cold forever.
 #[test]
-fn a_fresh_server_is_cold_whatever_the_wall_clock_says() {
+fn a_restarted_server_is_cold_regardless_of_wall_clock_steps() {
     const HOUR: i64 = 3_600_000;
-    let usual = sent_to_a_fresh_one(0);
-    for step in [5_000, 30_000, HOUR] {
-        let sent = sent_to_a_fresh_one(step);
+    let unstepped = sent_to_a_restarted_server(0);
+    for step_ms in [5_000, 30_000, HOUR] {
+        let sent = sent_to_a_restarted_server(step_ms);
         assert!(
-            sent <= usual + usual / 10 + 1,
-            "told as {step} ms old: {sent} requests, {usual} where told aright"
+            sent <= unstepped + unstepped / 10 + 1,
+            "reported as {step_ms} ms old: {sent} requests, {unstepped} with the correct age"
         );
     }
     let mut node = Node::new(settings(), 1);
     let mut entries: Vec<_> = ["a", "b"].iter().map(|name| ServerEntry::new(name)).collect();
-    node.full_list(entries.clone());
+    node.replace_servers(entries.clone());
     entries[0].started = Some(node.now + Duration::from_secs(3_600));
-    node.changes(entries);
-    node.pass(settings().warm_within);
-    assert!(served_by_a(&mut node) > 60, "a start in the future, and warm by now");
+    node.update_servers(entries);
+    node.advance(settings().warm_within);
+    assert!(sent_to_a(&mut node) > 60, "a server with a start in the future must become warm");
 }
 
-// A server that leaves the list and comes back with the start that it had is as old as before.
+/// Guards against a warm server that is treated as cold because it left the list and came back with the same start
+/// time.
 #[test]
-fn a_server_that_comes_back_to_the_list_is_no_fresh_one() {
+fn a_server_that_returns_with_its_old_start_time_stays_warm() {
     let mut node = Node::new(settings(), 1);
     let mut entries: Vec<_> = ["a", "b"].iter().map(|name| ServerEntry::new(name)).collect();
     entries[0].started = Some(node.now);
-    node.full_list(entries.clone());
-    node.pass(settings().warm_within + Duration::from_secs(10));
-    for whole in [true, false] {
-        let gone = ServerEntry { availability: Availability::Removed, ..entries[0].clone() };
-        if whole {
-            node.full_list(entries[1..].to_vec())
+    node.replace_servers(entries.clone());
+    node.advance(settings().warm_within + Duration::from_secs(10));
+    for by_full_list in [true, false] {
+        let removed = ServerEntry { availability: Availability::Removed, ..entries[0].clone() };
+        if by_full_list {
+            node.replace_servers(entries[1..].to_vec())
         } else {
-            node.changes(vec![gone])
+            node.update_servers(vec![removed])
         }
-        node.pass(ms(500));
-        node.changes(vec![entries[0].clone()]);
-        assert!(served_by_a(&mut node) > 60, "gone by a whole list: {whole}");
+        node.advance(ms(500));
+        node.update_servers(vec![entries[0].clone()]);
+        assert!(sent_to_a(&mut node) > 60, "removed by a full list: {by_full_list}");
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A node around a `Balancer`: it carries the actions out on paper and checks the rules from outside.
+//! A simulated node around a `Balancer`: it applies the actions in memory, without a network, and checks the four
+//! routing rules independently of the implementation.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,16 +10,16 @@
     Duration::from_millis(n)
 }
 
-pub struct Sent {
+pub struct SentAttempt {
     pub server: ServerEntry,
-    pub at: Timestamp,
-    pub ends: Timestamp,
+    pub sent_at: Timestamp,
+    pub times_out_at: Timestamp,
     pub status: Option<Status>,
 }
 
-pub struct Open {
+pub struct RequestState {
     pub request: Request,
-    pub sent: Vec<Sent>,
+    pub attempts: Vec<SentAttempt>,
     pub ended: bool,
 }
 
@@ -26,43 +27,43 @@
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: Timestamp,
-    pub list: BTreeMap<ServerId, ServerEntry>,
-    pub requests: BTreeMap<RequestId, Open>,
+    pub servers: BTreeMap<ServerId, ServerEntry>,
+    pub requests: BTreeMap<RequestId, RequestState>,
     pub timers: BTreeSet<Timestamp>,
     pub trace: Vec<Action>,
-    /// What servers report with each answer.
+    /// The load report that servers attach to each response.
     pub load: LoadReport,
-    count: u32,
+    request_count: u32,
 }
 
 impl Node {
     pub fn new(settings: Settings, seed: u64) -> Self {
         let balancer = Balancer::new(settings.clone(), seed);
         let now = Timestamp::from_micros(3_000_000_000);
-        let (list, requests) = (BTreeMap::new(), BTreeMap::new());
+        let (servers, requests) = (BTreeMap::new(), BTreeMap::new());
         let (timers, trace, load) = (BTreeSet::new(), Vec::new(), LoadReport::default());
-        Self { balancer, settings, now, list, requests, timers, trace, load, count: 0 }
+        Self { balancer, settings, now, servers, requests, timers, trace, load, request_count: 0 }
     }
 
     /// A node that knows `n` warm servers, named a, b, c and so on.
     pub fn with_servers(settings: Settings, n: u8) -> Self {
         let mut node = Self::new(settings, 1);
         let entries = (0..n).map(|i| ServerEntry::new(&char::from(b'a' + i).to_string()));
-        node.full_list(entries.collect());
+        node.replace_servers(entries.collect());
         node
     }
 
-    pub fn full_list(&mut self, entries: Vec<ServerEntry>) {
-        self.list.clear();
+    pub fn replace_servers(&mut self, entries: Vec<ServerEntry>) {
+        self.servers.clear();
         for entry in &entries {
-            self.list.insert(entry.id.clone(), entry.clone());
+            self.servers.insert(entry.id.clone(), entry.clone());
         }
         self.feed(Event::Servers(ServerList::Full(entries.into())));
     }
 
-    pub fn changes(&mut self, entries: Vec<ServerEntry>) {
+    pub fn update_servers(&mut self, entries: Vec<ServerEntry>) {
         for entry in &entries {
-            self.list.insert(entry.id.clone(), entry.clone());
+            self.servers.insert(entry.id.clone(), entry.clone());
         }
         self.feed(Event::Servers(ServerList::Changes(entries.into())));
     }
@@ -75,156 +76,189 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
-            self.carry_out(action);
+            self.apply_action(action);
         }
         self.trace.extend(actions.iter().cloned());
         actions
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn apply_action(&mut self, action: &Action) {
         match action {
             Action::Send { id, server, timeout, .. } => {
                 let class = self.class_of(&self.requests[id].request);
-                let entry = self.list.get(server).expect("a send to a server no list has named").clone();
-                assert_eq!(entry.availability, Availability::Ready, "rule 3: a send to a leaving server");
-                let (now, limits) = (self.now, &self.settings);
-                let open = self.requests.get_mut(id).expect("a send for an unknown request");
-                assert!(!open.ended, "rule 1: a send for an ended request");
-                assert!(open.sent.len() < limits.max_attempts as usize, "more attempts than allowed");
-                let out = open.sent.iter().filter(|sent| sent.status.is_none()).count();
-                assert!(out == 0 || (limits.hedging && out == 1), "too many attempts out at once");
-                for earlier in open.sent.iter().filter(|sent| may_have_run(sent)) {
+                let entry = self
+                    .servers
+                    .get(server)
+                    .expect("a send to a server that no server list contained")
+                    .clone();
+                assert_eq!(
+                    entry.availability,
+                    Availability::Ready,
+                    "rule 3: a send to a draining or removed server"
+                );
+                let (now, settings) = (self.now, &self.settings);
+                let state = self.requests.get_mut(id).expect("a send for an unknown request");
+                assert!(!state.ended, "rule 1: a send for an ended request");
+                assert!(
+                    state.attempts.len() < settings.max_attempts as usize,
+                    "more than `max_attempts` attempts"
+                );
+                let in_flight = state.attempts.iter().filter(|attempt| attempt.status.is_none()).count();
+                assert!(
+                    in_flight == 0 || (settings.hedging && in_flight == 1),
+                    "too many attempts in flight"
+                );
+                for earlier in state.attempts.iter().filter(|attempt| may_have_run(attempt)) {
                     match class.effect {
                         Effect::Safe => {}
-                        Effect::Unsafe => panic!("rule 2: an unsafe request sent again"),
+                        Effect::Unsafe => panic!("rule 2: an unsafe request retried"),
                         Effect::Keyed { scope, window } => {
-                            assert!(now < earlier.at + window, "rule 2: sent again after its window");
-                            let near = match scope {
+                            assert!(
+                                now < earlier.sent_at + window,
+                                "rule 2: retried after its deduplication window"
+                            );
+                            let in_scope = match scope {
                                 DedupScope::All => true,
                                 DedupScope::Zone => earlier.server.zone == entry.zone,
                                 DedupScope::Cell => earlier.server.cell == entry.cell,
                             };
-                            assert!(near, "rule 2: sent again outside its scope");
+                            assert!(in_scope, "rule 2: retried outside its deduplication scope");
                         }
                     }
                 }
-                let ends = (now + *timeout).min(open.request.valid_until);
-                open.sent.push(Sent { server: entry, at: now, ends, status: None });
+                let times_out_at = (now + *timeout).min(state.request.valid_until);
+                state.attempts.push(SentAttempt { server: entry, sent_at: now, times_out_at, status: None });
             }
             Action::Refuse { id, .. } => {
                 let effect = self.class_of(&self.requests[id].request).effect;
-                let open = self.requests.get_mut(id).expect("a refusal of an unknown request");
-                assert!(!open.ended, "rule 1: a second final answer");
-                let all = matches!(effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
-                assert!(all || !open.sent.iter().any(may_have_run), "rule 2: refused, yet it may have run");
+                let state = self.requests.get_mut(id).expect("a refusal of an unknown request");
+                assert!(!state.ended, "rule 1: a second final response");
+                let deduplicated_everywhere =
+                    matches!(effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
+                assert!(
+                    deduplicated_everywhere || !state.attempts.iter().any(may_have_run),
+                    "rule 2: refused although an attempt may have run"
+                );
                 if let Effect::Keyed { window, .. } = effect {
-                    let past =
-                        open.sent.iter().any(|sent| may_have_run(sent) && self.now >= sent.at + window);
-                    assert!(!past, "rule 2: refused past the window, so that its client would repeat it");
+                    let expired = state
+                        .attempts
+                        .iter()
+                        .any(|attempt| may_have_run(attempt) && self.now >= attempt.sent_at + window);
+                    assert!(
+                        !expired,
+                        "rule 2: refused after the deduplication window: the client would retry"
+                    );
                 }
-                open.ended = true;
+                state.ended = true;
             }
             Action::Fail { id, .. } => {
-                let open = self.requests.get_mut(id).expect("a failure of an unknown request");
-                assert!(!open.ended, "rule 1: a second final answer");
-                open.ended = true;
+                let state = self.requests.get_mut(id).expect("a failure of an unknown request");
+                assert!(!state.ended, "rule 1: a second final response");
+                state.ended = true;
             }
             Action::Wake { after } => {
                 self.timers.insert(self.now + (*after).max(Duration::from_micros(1)));
             }
             Action::Cancel { id, attempt } => {
-                assert!(self.requests[id].sent.len() > *attempt as usize, "cancelled an attempt never made");
+                assert!(
+                    self.requests[id].attempts.len() > *attempt as usize,
+                    "cancelled an attempt that was never sent"
+                );
             }
             Action::Probe { .. } | Action::Close { .. } | Action::Subscribe | Action::Log(_) => {}
         }
     }
 
-    /// A request of the class with this number, with this key, given up after `patience`.
-    pub fn request(&mut self, class: usize, key: u64, patience: Duration) -> RequestId {
-        self.count += 1;
-        let request = Request::new(&format!("r{}", self.count), self.now + patience);
+    /// Submits a request for `key` of the class with index `class`. Its client gives up after `client_timeout`.
+    pub fn request(&mut self, class: usize, key: u64, client_timeout: Duration) -> RequestId {
+        self.request_count += 1;
+        let request = Request::new(&format!("r{}", self.request_count), self.now + client_timeout);
         self.submit(Request { class: Some(ClassId(class)), key: Some(key), ..request })
     }
 
     pub fn submit(&mut self, request: Request) -> RequestId {
         let id = request.id.clone();
-        let open = Open { request: request.clone(), sent: Vec::new(), ended: false };
-        self.requests.insert(id.clone(), open);
+        let state = RequestState { request: request.clone(), attempts: Vec::new(), ended: false };
+        self.requests.insert(id.clone(), state);
         self.feed(Event::Request(request));
         id
     }
 
-    /// The server of the request's attempt that is out, if one is.
-    pub fn out(&self, id: &RequestId) -> Option<(u32, ServerId)> {
-        let sent = &self.requests[id].sent;
-        let at = sent.iter().position(|sent| sent.status.is_none())?;
-        Some((at as u32, sent[at].server.id.clone()))
+    /// The number and the server of the request's first attempt in flight, if any.
+    pub fn in_flight(&self, id: &RequestId) -> Option<(u32, ServerId)> {
+        let attempts = &self.requests[id].attempts;
+        let index = attempts.iter().position(|attempt| attempt.status.is_none())?;
+        Some((index as u32, attempts[index].server.id.clone()))
     }
 
-    /// The requests that have an attempt out.
-    pub fn all_out(&self) -> Vec<RequestId> {
-        self.requests.keys().filter(|id| self.out(id).is_some()).cloned().collect()
+    /// The requests that have an attempt in flight.
+    pub fn all_in_flight(&self) -> Vec<RequestId> {
+        self.requests.keys().filter(|id| self.in_flight(id).is_some()).cloned().collect()
     }
 
     pub fn end_attempt(&mut self, id: &RequestId, attempt: u32, status: Status) -> Vec<Action> {
-        self.end_attempt_noted(id, attempt, status, None)
+        self.end_attempt_with_cache_status(id, attempt, status, None)
     }
 
-    pub fn end_attempt_noted(
+    pub fn end_attempt_with_cache_status(
         &mut self,
         id: &RequestId,
         attempt: u32,
         status: Status,
-        note: Option<CacheStatus>,
+        cache_status: Option<CacheStatus>,
     ) -> Vec<Action> {
         let now = self.now;
-        let open = self.requests.get_mut(id).expect("known");
-        let sent = &mut open.sent[attempt as usize];
+        let state = self.requests.get_mut(id).expect("a known request");
+        let sent = &mut state.attempts[attempt as usize];
         sent.status = Some(status);
-        let (server, took) = (sent.server.id.clone(), now.since(sent.at));
-        open.ended |= status == Status::Ok;
-        let (finished, load) = (open.ended, self.load);
+        let (server, took) = (sent.server.id.clone(), now.since(sent.sent_at));
+        state.ended |= status == Status::Ok;
+        let (finished, load) = (state.ended, self.load);
         self.feed(Event::Outcome(Outcome {
             id: id.clone(),
             attempt,
             server,
             status,
-            cache_status: note,
+            cache_status,
             took,
             finished,
             load,
         }))
     }
 
-    /// Ends the attempt that is out.
-    pub fn answer(&mut self, id: &RequestId, status: Status) -> Vec<Action> {
-        let (attempt, _) = self.out(id).expect("an attempt out");
+    /// Ends the attempt in flight with `status`.
+    pub fn complete(&mut self, id: &RequestId, status: Status) -> Vec<Action> {
+        let (attempt, _) = self.in_flight(id).expect("an attempt in flight");
         self.end_attempt(id, attempt, status)
     }
 
-    /// One read of `key`, answered with `status` by whichever server is asked first.
-    pub fn call(&mut self, key: u64, status: Status) -> Option<ServerId> {
+    /// Sends a read of `key`. The first server responds with `status`, a further one with `Status::Ok`. Returns the
+    /// first server.
+    pub fn read_key(&mut self, key: u64, status: Status) -> Option<ServerId> {
         let id = self.request(0, key, ms(400));
-        let (attempt, server) = self.out(&id)?;
+        let (attempt, server) = self.in_flight(&id)?;
         self.end_attempt(&id, attempt, status);
         if !self.requests[&id].ended {
-            self.answer(&id, Status::Ok);
+            self.complete(&id, Status::Ok);
         }
         Some(server)
     }
 
-    /// Lets time pass: timers fire and attempts time out when due.
-    pub fn pass(&mut self, time: Duration) {
-        let end = self.now + time;
+    /// Advances the clock: timers fire and attempts time out when due.
+    pub fn advance(&mut self, duration: Duration) {
+        let end = self.now + duration;
         loop {
-            let attempts = self.requests.iter().flat_map(|(id, open)| {
-                let out = open.sent.iter().enumerate().filter(|(_, sent)| sent.status.is_none());
-                out.map(move |(i, sent)| (sent.ends, Some((id.clone(), i as u32))))
+            let attempts = self.requests.iter().flat_map(|(id, state)| {
+                let in_flight =
+                    state.attempts.iter().enumerate().filter(|(_, attempt)| attempt.status.is_none());
+                in_flight.map(move |(i, attempt)| (attempt.times_out_at, Some((id.clone(), i as u32))))
             });
             let timer = self.timers.first().map(|&at| (at, None));
-            let Some((at, what)) = attempts.chain(timer).min().filter(|(at, _)| *at <= end) else { break };
+            let Some((at, due_attempt)) = attempts.chain(timer).min().filter(|(at, _)| *at <= end) else {
+                break;
+            };
             self.now = self.now.max(at);
-            match what {
+            match due_attempt {
                 Some((id, attempt)) => {
                     self.end_attempt(&id, attempt, Status::TimedOut);
                 }
@@ -235,22 +269,23 @@
             }
         }
         self.now = end;
-        self.check_none_lost();
+        self.check_no_answer_overdue();
     }
 
-    pub fn check_none_lost(&self) {
-        for (id, open) in &self.requests {
-            let overdue = !open.ended && self.now > open.request.valid_until;
-            assert!(!overdue, "rule 1: {id} has no final answer in time");
+    pub fn check_no_answer_overdue(&self) {
+        for (id, state) in &self.requests {
+            let overdue = !state.ended && self.now > state.request.valid_until;
+            assert!(!overdue, "rule 1: {id} has no final response by its deadline");
         }
     }
 }
 
-fn may_have_run(sent: &Sent) -> bool {
-    !sent.status.is_some_and(Status::never_ran)
+fn may_have_run(attempt: &SentAttempt) -> bool {
+    !attempt.status.is_some_and(Status::never_ran)
 }
 
-/// Read, keyed for one second, and unsafe; aims of 150 ms.
+/// Three classes: read, keyed with a deduplication window of one second, and unsafe. All have a latency target of 150
+/// ms.
 pub fn settings() -> Settings {
     let class = |name: &str, effect| Class {
         name: name.into(),
@@ -271,8 +306,8 @@
     }
 }
 
-/// Settings of a fleet whose balancers fetch misses, with its origin entry.
-pub fn aside() -> (Settings, ServerEntry) {
+/// Settings of a fleet whose balancers fetch misses from the origin (cache-aside), and the origin's server entry.
+pub fn aside_settings() -> (Settings, ServerEntry) {
     let mode = CacheMode::Aside { origin_kind: "origin".into() };
     let origin = ServerEntry { kind: Some("origin".into()), ..ServerEntry::new("zz-origin") };
     (Settings { mode, ..settings() }, origin)
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire: lines in and out, and the host around it.
+//! The simulator's wire format (input and output lines) and the adapter process that speaks it.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn settings_are_read_and_unknown_ones_skipped() {
+fn known_settings_are_parsed_and_unknown_ones_skipped() {
     let Input::Start { instance: 3, seed: 5, settings } = parse(&[START]).remove(0) else {
-        panic!("a start")
+        panic!("expected a start")
     };
     assert_eq!(settings.classes.len(), 2);
     let keyed = Effect::Keyed { scope: DedupScope::Zone, window: Duration::from_millis(600) };
@@ -32,15 +32,15 @@
     assert_eq!(
         settings.overload_multiple,
         Settings::default().overload_multiple,
-        "what is missing keeps its default"
+        "a missing setting keeps its default"
     );
 }
 
 #[test]
-fn a_request_is_read_whole() {
+fn every_field_of_a_request_is_parsed() {
     let line = "submit who=3 request_id=c:x cls=log party=t1 object=17 valid_until_us=900 expected_us=12 options=7 odd=1";
     let Input::Event { instance: 3, event: Event::Request(request) } = parse(&[START, line]).remove(1) else {
-        panic!("a request")
+        panic!("expected a request")
     };
     assert_eq!(request.class, Some(ClassId(1)));
     assert_eq!(request.tenant, Some(TenantId(0)));
@@ -50,11 +50,13 @@
 }
 
 #[test]
-fn an_outcome_is_read_whole_and_an_unknown_result_counts_as_failed() {
+fn every_field_of_an_outcome_is_parsed_and_an_unknown_result_counts_as_failed() {
     let line = "returned who=1 request_id=r result=Miss info=3 hop=2 server=s:1 spent_us=70 finished=1 server_stats=avg_ms:1.5,cpu:0.25,waiting:2,new:1";
-    let odd = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
-    let inputs = parse(&[line, odd]);
-    let Input::Event { event: Event::Outcome(outcome), .. } = &inputs[0] else { panic!("an outcome") };
+    let unknown_result = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
+    let inputs = parse(&[line, unknown_result]);
+    let Input::Event { event: Event::Outcome(outcome), .. } = &inputs[0] else {
+        panic!("expected an outcome")
+    };
     assert_eq!(
         (outcome.attempt, outcome.status, outcome.cache_status),
         (2, Status::Miss, Some(CacheStatus::MissFetching))
@@ -74,7 +76,7 @@
 }
 
 #[test]
-fn lists_are_resolved_by_number_in_the_order_of_events() {
+fn a_server_list_number_refers_to_the_latest_list_before_the_event() {
     let entry = |id: &str| {
         format!("m server={id} region_part=x machine=std group=2 availability=U capacity_hint=1.5 born_us=0")
     };
@@ -114,8 +116,8 @@
 }
 
 #[test]
-fn malformed_known_lines_are_named() {
-    for (lines, word) in [
+fn the_error_for_a_malformed_line_names_the_fault() {
+    for (lines, expected) in [
         (vec!["tick"], "tick"),
         (vec!["tick t_us=soon"], "t_us"),
         (vec!["submit who=1 request_id=r"], "valid_until_us"),
@@ -135,17 +137,17 @@
         let errors: Vec<String> =
             lines.iter().filter_map(|line| parser.parse_line(line).err()).map(|e| e.to_string()).collect();
         assert_eq!(errors.len(), 1, "{lines:?}");
-        assert!(errors[0].contains(word) && !errors[0].contains('\n'), "{errors:?}");
+        assert!(errors[0].contains(expected) && !errors[0].contains('\n'), "{errors:?}");
     }
 }
 
 #[test]
-fn actions_are_written_as_lines() {
+fn each_action_is_written_as_one_line() {
     let (id, server) = (RequestId::from("c:x"), ServerId::from("s:1"));
-    let time = Duration::from_micros(250);
+    let duration = Duration::from_micros(250);
     for (action, line) in [
         (
-            Action::Send { id: id.clone(), server: server.clone(), timeout: time, start_within: None },
+            Action::Send { id: id.clone(), server: server.clone(), timeout: duration, start_within: None },
             "send who=3 request_id=c:x server=s:1 allow_for_us=250\n",
         ),
         (
@@ -159,11 +161,11 @@
         ),
         (Action::Cancel { id: id.clone(), attempt: 1 }, "abort_attempt who=3 request_id=c:x hop=1\n"),
         (
-            Action::Refuse { id: id.clone(), retry_after: time, reason: EndReason::Overload },
+            Action::Refuse { id: id.clone(), retry_after: duration, reason: EndReason::Overload },
             "busy who=3 request_id=c:x hold_off_us=250\n",
         ),
         (Action::Fail { id, reason: EndReason::NoServer }, "report_failure who=3 request_id=c:x\n"),
-        (Action::Wake { after: time }, "wake_at who=3 nonce=w sleep_for_us=250\n"),
+        (Action::Wake { after: duration }, "wake_at who=3 nonce=w sleep_for_us=250\n"),
         (Action::Probe { server }, "health_check who=3 server=s:1\n"),
         (Action::Subscribe, "follow who=3 on=1\n"),
         (Action::Log("two\nlines".into()), "write_log who=3 body_text=two lines\n"),
@@ -174,78 +176,79 @@
     }
 }
 
-fn host(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_walkpick-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the host starts");
-    // A host that ends early closes its input: that is no failure of the test.
+        .expect("the adapter starts");
+    // An adapter that exits early closes its input; the failed write is not a test failure.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the host ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
 #[test]
-fn the_host_answers_batches_and_ends_with_its_input() {
+fn the_adapter_replies_to_each_batch_and_exits_at_end_of_input() {
     let batch = format!(
         "tick t_us=1\nyour_turn\ntick t_us=10\nretire who=3\n{START}\nroster bank=0 hosts=1\nm server=s:1 machine=std availability=U\n\
          peers_known who=3 how=restored bank=0 revision=1\n\
          submit who=3 request_id=c:x cls=read object=4 valid_until_us=400010\nsubmit who=9 request_id=c:y valid_until_us=9\nyour_turn\n"
     );
-    let done = host(&batch);
-    assert!(done.status.success());
-    let text = String::from_utf8(done.stdout).expect("UTF-8");
+    let output = run_adapter(&batch);
+    assert!(output.status.success());
+    let text = String::from_utf8(output.stdout).expect("UTF-8");
     assert!(text.starts_with("ack\n") && text.ends_with("ack\n"), "{text}");
     assert!(text.contains("send who=3 request_id=c:x server=s:1 "), "{text}");
-    assert!(!text.contains("who=9"), "an instance that was never started: {text}");
+    assert!(!text.contains("who=9"), "an action for an instance that was never started: {text}");
 }
 
 #[test]
-fn the_host_ends_on_a_malformed_line_without_a_reply_to_its_batch() {
-    let done = host("tick t_us=1\nyour_turn\ntick t_us=2\nsubmit who=1 request_id=r\nyour_turn\n");
-    assert!(!done.status.success());
-    assert_eq!(String::from_utf8_lossy(&done.stdout), "ack\n");
-    let errors = String::from_utf8_lossy(&done.stderr);
+fn the_adapter_exits_on_a_malformed_line_without_replying_to_its_batch() {
+    let output = run_adapter("tick t_us=1\nyour_turn\ntick t_us=2\nsubmit who=1 request_id=r\nyour_turn\n");
+    assert!(!output.status.success());
+    assert_eq!(String::from_utf8_lossy(&output.stdout), "ack\n");
+    let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(errors.lines().count(), 1, "{errors}");
     assert!(errors.contains("valid_until_us") && errors.contains("submit who=1"), "{errors}");
 }
 
-/// Numbers that make no sense never reach the decisions: the default stands in for them.
+/// Guards against invalid numbers (not finite, negative or out of range) that reach the routing decisions.
 #[test]
-fn numbers_out_of_range_are_passed_over() {
-    for bad in ["NaN", "inf", "-inf", "-0.5"] {
+fn invalid_numbers_are_replaced_by_defaults() {
+    for invalid in ["NaN", "inf", "-inf", "-0.5"] {
         let start = format!(
-            "power_on who=1 prng=1 lanes.count=1 lanes.0.name=a lanes.0.worth={bad} lanes.0.late_value={bad} \
-             over_share_worth={bad} safety.cold_share={bad} safety.fall_multiple={bad}"
+            "power_on who=1 prng=1 lanes.count=1 lanes.0.name=a lanes.0.worth={invalid} lanes.0.late_value={invalid} \
+             over_share_worth={invalid} safety.cold_share={invalid} safety.fall_multiple={invalid}"
         );
-        let entry = format!("m server=s availability=U capacity_hint={bad}");
+        let entry = format!("m server=s availability=U capacity_hint={invalid}");
         let lines = [start.as_str(), "roster bank=0 hosts=1", &entry, "peers_known who=1 how=replace bank=0"];
         let mut inputs = parse(&lines);
         let Input::Event { event: Event::Servers(ServerList::Full(list)), .. } = inputs.remove(1) else {
-            panic!("a list")
+            panic!("expected a server list")
         };
         assert_eq!(list[0].weight, 1.0);
-        let Input::Start { settings, .. } = inputs.remove(0) else { panic!("a start") };
-        let other = Settings::default();
+        let Input::Start { settings, .. } = inputs.remove(0) else { panic!("expected a start") };
+        let defaults = Settings::default();
         assert_eq!(
             (settings.cold_share, settings.overload_multiple),
-            (other.cold_share, other.overload_multiple)
+            (defaults.cold_share, defaults.overload_multiple)
         );
-        assert_eq!(settings.over_share_worth, other.over_share_worth);
+        assert_eq!(settings.over_share_worth, defaults.over_share_worth);
         assert_eq!((settings.classes[0].worth, settings.classes[0].late_worth), (1.0, 0.0));
     }
     let Input::Start { settings, .. } = parse(&["power_on who=1 prng=1 safety.cold_share=2"]).remove(0)
     else {
-        panic!("a start")
+        panic!("expected a start")
     };
     assert_eq!(settings.cold_share, Settings::default().cold_share, "a share is at most 1");
 }
 
 #[test]
-fn events_for_an_instance_that_is_not_there_do_nothing() {
-    let output =
-        host("tick t_us=1\ntimer who=9 nonce=w\nabandoned who=9 request_id=c:x\nretire who=9\nyour_turn\n");
+fn events_for_an_unknown_instance_are_ignored() {
+    let output = run_adapter(
+        "tick t_us=1\ntimer who=9 nonce=w\nabandoned who=9 request_id=c:x\nretire who=9\nyour_turn\n",
+    );
     assert!(output.status.success());
     assert_eq!(String::from_utf8_lossy(&output.stdout), "ack\n");
 }
