--- a/lab/src/capacity/cases.rs
+++ b/lab/src/capacity/cases.rs
@@ -1,33 +1,33 @@
-//! The columns of the tables: the ordinary day, the peak, and each failure of the plan.
+//! The operating conditions that capacity is computed for: an ordinary day, the peak load and each planned failure.
 
 use super::Plan;
 use std::fmt;
 
-/// What happens to the fleet.
+/// An operating condition of the fleet; each is one column of the tables.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Case {
-    /// Nothing beyond single machines.
+    /// Only single machines fail.
     OrdinaryDay,
-    /// The most requests.
+    /// The highest request rate.
     Peak,
-    /// Restarts of an ordinary day, all at once.
+    /// The restarts that may coincide on an ordinary day.
     RestartsAtOnce,
-    /// A rack or a switch is lost.
+    /// A rack or a switch fails.
     RackLost,
-    /// A zone is lost, nodes and cache servers.
+    /// A zone fails, with its nodes and cache servers.
     ZoneLost,
-    /// A region is cut off; its clients come to the others.
+    /// A region is partitioned off; its clients use the other regions.
     RegionCut,
-    /// It comes back.
+    /// The partitioned region is reconnected.
     RegionReturn,
-    /// All nodes are restarted in turn.
+    /// A release restarts all nodes in batches.
     Release,
-    /// What the plan does not name and membership is measured in.
-    OtherTrouble,
+    /// Failures that membership is measured in but the plan does not list.
+    OtherFailures,
 }
 
 impl Case {
-    /// All, in the order of the columns.
+    /// All cases, in column order.
     pub const ALL: [Self; 9] = [
         Self::OrdinaryDay,
         Self::Peak,
@@ -37,23 +37,23 @@
         Self::RegionCut,
         Self::RegionReturn,
         Self::Release,
-        Self::OtherTrouble,
+        Self::OtherFailures,
     ];
 
-    /// Nodes that take no requests meanwhile.
-    pub fn nodes_out(self, plan: &Plan) -> f64 {
+    /// The number of nodes that serve no requests in this case.
+    pub fn nodes_unavailable(self, plan: &Plan) -> f64 {
         match self {
             Self::RestartsAtOnce => plan.restarts_at_once,
             Self::RackLost => plan.rack_nodes,
             Self::ZoneLost => plan.nodes / plan.zones,
             Self::RegionCut => plan.nodes / plan.regions,
             Self::Release => plan.release_nodes_at_once,
-            Self::OrdinaryDay | Self::Peak | Self::RegionReturn | Self::OtherTrouble => 0.0,
+            Self::OrdinaryDay | Self::Peak | Self::RegionReturn | Self::OtherFailures => 0.0,
         }
     }
 
-    /// Cache servers that are out of reach meanwhile.
-    pub fn servers_out(self, plan: &Plan) -> f64 {
+    /// The number of cache servers that are unreachable in this case.
+    pub fn servers_unavailable(self, plan: &Plan) -> f64 {
         match self {
             Self::ZoneLost => plan.servers / plan.zones,
             Self::RegionCut => plan.servers / plan.regions,
@@ -73,7 +73,7 @@
             Self::RegionCut => "region cut",
             Self::RegionReturn => "its return",
             Self::Release => "release",
-            Self::OtherTrouble => "other trouble",
+            Self::OtherFailures => "other trouble",
         })
     }
 }
--- a/lab/src/capacity/figures.rs
+++ b/lab/src/capacity/figures.rs
@@ -1,9 +1,9 @@
-//! How numbers are written.
+//! Formatting of numbers and amounts.
 
 use super::Resource;
 
-/// A whole number with commas.
-pub fn count(value: f64) -> String {
+/// Formats a value as a whole number with thousands separators.
+pub fn format_count(value: f64) -> String {
     let digits = format!("{:.0}", value.abs().round());
     let mut grouped = String::new();
     if value <= -0.5 {
@@ -19,17 +19,17 @@
     grouped
 }
 
-/// A number with three figures or so.
-pub fn number(value: f64) -> String {
+/// Formats a value with about three significant digits.
+pub fn format_number(value: f64) -> String {
     let size = value.abs();
     if size >= 100.0 {
-        count(value)
+        format_count(value)
     } else if size >= 10.0 {
-        shortened(format!("{value:.1}"))
+        trim_trailing_zeros(format!("{value:.1}"))
     } else if size >= 0.1 {
-        shortened(format!("{value:.2}"))
+        trim_trailing_zeros(format!("{value:.2}"))
     } else if size >= 0.0005 {
-        shortened(format!("{value:.4}"))
+        trim_trailing_zeros(format!("{value:.4}"))
     } else if size == 0.0 {
         "0".to_owned()
     } else {
@@ -37,19 +37,19 @@
     }
 }
 
-/// An amount of a resource with its unit.
-pub fn amount(resource: Resource, value: f64) -> String {
+/// Formats an amount of a resource with its unit.
+pub fn format_amount(resource: Resource, value: f64) -> String {
     match resource {
-        Resource::Messages => format!("{}/s", number(value)),
-        Resource::Connections => count(value),
-        Resource::Bytes => format!("{}/s", bytes(value)),
-        Resource::Memory => bytes(value),
-        Resource::Processor => format!("{}%", number(100.0 * value)),
-        Resource::Seconds => format!("{} s", number(value)),
+        Resource::Messages => format!("{}/s", format_number(value)),
+        Resource::Connections => format_count(value),
+        Resource::Bytes => format!("{}/s", format_bytes(value)),
+        Resource::Memory => format_bytes(value),
+        Resource::Processor => format!("{}%", format_number(100.0 * value)),
+        Resource::Seconds => format!("{} s", format_number(value)),
     }
 }
 
-fn bytes(value: f64) -> String {
+fn format_bytes(value: f64) -> String {
     let (divisor, unit) = match value.abs() {
         size if size >= 1e12 => (1e12, "TB"),
         size if size >= 1e9 => (1e9, "GB"),
@@ -57,10 +57,10 @@
         size if size >= 1e4 => (1e3, "KB"),
         _ => (1.0, "B"),
     };
-    format!("{} {unit}", number(value / divisor))
+    format!("{} {unit}", format_number(value / divisor))
 }
 
-fn shortened(written: String) -> String {
+fn trim_trailing_zeros(written: String) -> String {
     match written.contains('.') {
         true => written.trim_end_matches('0').trim_end_matches('.').to_owned(),
         false => written,
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! What each role needs at a size: the operators' plan, measured slopes, and the tables, page and plot that come of them.
+//! Capacity planning: computes what each role needs at a given fleet size from the operators' plan and the measured
+//! cost series, and renders the result as tables, a page and a plot.
 
 mod cases;
 mod demand;
@@ -14,14 +15,14 @@
 
 pub use cases::Case;
 pub use encoded::encoded_sizes;
-pub use figures::number;
+pub use figures::format_number;
 pub use page::{check, write, PageError};
 pub use plan::{Plan, PlanError, PlanFault};
 pub use plot::plot;
 pub use render::{render, Sources};
 pub use rows::{all_rows, Need, Resource, Role, Row};
-pub use solve::{used_up_at, worst, UsedUp, Worst, MOST_NODES};
-pub use values::{Context, Gap, Value};
+pub use solve::{exhausted_at, worst_case, Exhaustion, WorstCase, MAX_NODES};
+pub use values::{Context, Unavailable, Value};
 
 #[cfg(test)]
 mod tests;
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -1,40 +1,40 @@
-//! The page that holds the tables between two markers: compared with plan and slopes, and renewed from them.
+//! The page that contains the tables between two markers: checks it against freshly rendered tables, or updates it.
 
 use std::path::{Path, PathBuf};
 
 const BEGIN: &str = "<!-- walkpick-lab capacity: begin -->";
 const END: &str = "<!-- walkpick-lab capacity: end -->";
 
-/// Why a page could not be compared or renewed.
+/// Why a page could not be checked or updated.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
     /// The file could not be read.
     #[error("{path}: cannot be read: {error}", path = path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
     /// The file could not be written.
     #[error("{path}: cannot be written: {error}", path = path.display())]
     Unwritable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// The markers are not there.
+    /// The markers are missing, repeated or in the wrong order.
     #[error("{path}: found {found}, expected the line \"{BEGIN}\" once and the line \"{END}\" once after it", path = path.display())]
     NoMarkers {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What stands there.
+        /// How often each marker was found.
         found: String,
     },
 }
 
-/// A page, cut at its markers.
+/// The lines of a page, split at its markers; the markers belong to `before` and `after`.
 struct Page {
     before: Vec<String>,
     generated: Vec<String>,
@@ -46,10 +46,10 @@
         let text = std::fs::read_to_string(path)
             .map_err(|error| PageError::Unreadable { path: path.to_owned(), error })?;
         let lines: Vec<_> = text.lines().map(str::to_owned).collect();
-        let places = |marker: &str| -> Vec<usize> {
+        let positions = |marker: &str| -> Vec<usize> {
             (0..lines.len()).filter(|line| lines[*line].trim() == marker).collect()
         };
-        match (places(BEGIN).as_slice(), places(END).as_slice()) {
+        match (positions(BEGIN).as_slice(), positions(END).as_slice()) {
             (&[begin], &[end]) if begin < end => Ok(Self {
                 before: lines[..=begin].to_vec(),
                 generated: lines[begin + 1..end].to_vec(),
@@ -63,14 +63,14 @@
     }
 }
 
-/// The lines in which page and tables differ, each with its place; none where they agree.
+/// Lists the lines in which the page and the tables differ, with line numbers; empty if they agree.
 pub fn check(path: &Path, tables: &[String]) -> Result<Vec<String>, PageError> {
     let page = Page::read(path)?;
     let first = page.before.len() + 1;
     Ok(differences(&page.generated, tables, first))
 }
 
-/// Puts the tables into the page; what stands outside the markers stays.
+/// Replaces the lines between the markers with the tables.
 pub fn write(path: &Path, tables: &[String]) -> Result<(), PageError> {
     let Page { before, after, .. } = Page::read(path)?;
     let mut text = [before, tables.to_vec(), after].concat().join("\n");
@@ -78,7 +78,8 @@
     std::fs::write(path, text).map_err(|error| PageError::Unwritable { path: path.to_owned(), error })
 }
 
-/// Lines of the page that are not among the tables, and the other way round; where all are the same, their order.
+/// Lists lines of the page that are not in the tables and vice versa; if there are none, the first line whose position
+/// differs.
 fn differences(page: &[String], tables: &[String], first: usize) -> Vec<String> {
     let mut found = Vec::new();
     for (i, line) in page.iter().enumerate().filter(|(_, line)| !tables.contains(line)) {
--- a/lab/src/capacity/plan.rs
+++ b/lab/src/capacity/plan.rs
@@ -1,90 +1,90 @@
-//! The plan file: the operators' figures, read with every fault at once.
+//! The plan file: the operators' figures for the fleet. Reading it reports all errors at once.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// What a fleet is to be. All figures are numbers that rows compute with; units are in the names.
+/// The planned fleet. All figures are `f64`, as rows compute with them; units are in the names.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// What it is called.
+    /// The name of the plan.
     pub name: String,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: f64,
-    /// Sites that they stand at.
+    /// Number of sites that host nodes.
     pub sites: f64,
-    /// Cache servers.
+    /// Number of cache servers.
     pub servers: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: f64,
-    /// Zones of all regions together.
+    /// Number of zones in all regions together.
     pub zones: f64,
-    /// Machines that are set aside for control.
+    /// Number of machines dedicated to control.
     pub control_machines: f64,
-    /// Requests a second of all clients at the peak.
+    /// Peak request rate of all clients.
     pub peak_requests_per_second: f64,
-    /// What all answers come to at the peak.
+    /// Peak bit rate of all responses.
     pub peak_terabits_per_second: f64,
-    /// Objects.
+    /// Number of cached objects.
     pub objects: f64,
-    /// Purges a second.
+    /// Purges per second.
     pub purges_per_second: f64,
-    /// A purge is done everywhere within this.
+    /// The time within which a purge must take effect on all nodes.
     pub purge_within_seconds: f64,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub configuration_changes_per_day: f64,
-    /// A change is in force everywhere within this.
+    /// The time within which a configuration change must take effect on all nodes.
     pub configuration_within_seconds: f64,
-    /// What control may take of a node's core.
+    /// The fraction of a node's core that control may use.
     pub control_core_fraction: f64,
-    /// What control may take of a node's memory.
+    /// Memory of a node that control may use.
     pub control_memory_megabytes: f64,
-    /// What control of a node may send a second.
+    /// Bandwidth that the control traffic of a node may use.
     pub control_kilobytes_per_second: f64,
     /// Machines that fail on an ordinary day.
     pub machines_per_day: f64,
-    /// Restarts of a day that may come at once.
+    /// Restarts of an ordinary day that may coincide.
     pub restarts_at_once: f64,
-    /// Nodes that go with a rack or a switch.
+    /// Nodes lost when a rack or a switch fails.
     pub rack_nodes: f64,
-    /// How long a region is cut off.
+    /// Duration of a partition that isolates a region.
     pub region_cut_seconds: f64,
-    /// Cores of a node.
+    /// Number of cores of a node.
     pub node_cores: f64,
     /// Memory of the smallest node.
     pub node_memory_least_megabytes: f64,
     /// Memory of the largest node.
     pub node_memory_most_megabytes: f64,
-    /// Descriptors of the smallest node.
+    /// File descriptors of the smallest node.
     pub node_descriptors_least: f64,
-    /// Descriptors of the largest node.
+    /// File descriptors of the largest node.
     pub node_descriptors_most: f64,
-    /// The largest body.
+    /// The largest response body that the protocol allows.
     pub body_largest_bytes: f64,
     /// Connections that the smallest cache server accepts.
     pub server_connections_least: f64,
-    /// What discovery has to tell counts as told after this.
+    /// The time after which an update from discovery is assumed to have reached a node.
     pub told_within_seconds: f64,
-    /// The least time between two renewals of the weights in discovery's list.
+    /// The shortest interval between updates of the weights in discovery's list.
     pub weights_every_seconds: f64,
-    /// Part of the requests that one pooled cache of the fleet's size would serve.
+    /// Hit ratio of a single pooled cache of the fleet's total size.
     pub pooled_hit_share: f64,
-    /// What the origin can take, in fetches that a pooled cache would leave.
+    /// Capacity of the origin, as a multiple of the misses of a pooled cache.
     pub origin_headroom: f64,
-    /// Classes of requests.
+    /// Number of request classes.
     pub classes: f64,
-    /// Mean time of an answer.
+    /// Mean response time.
     pub answer_seconds: f64,
-    /// Requests of the busiest node, in means.
+    /// Request rate of the busiest node, as a multiple of the mean.
     pub hot_node_multiple: f64,
-    /// Requests of the least busy node, in means.
+    /// Request rate of the least busy node, as a fraction of the mean.
     pub cold_node_share: f64,
-    /// Nodes that a release restarts at once.
+    /// Nodes that a release restarts at a time.
     pub release_nodes_at_once: f64,
     /// The largest entry of the log or of versioned state.
     pub entry_largest_bytes: f64,
-    /// The part of control's bytes that membership may take by itself.
+    /// The share of the control bandwidth that membership may use.
     pub membership_part_of_control: f64,
 }
 
@@ -94,14 +94,14 @@
         Self { nodes, ..self.clone() }
     }
 
-    /// Reads a file.
+    /// Reads a plan file.
     pub fn load(path: &Path) -> Result<Self, PlanError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| PlanError::Unreadable { path: path.to_owned(), error })?;
-        Self::parse(&text).map_err(|faults| PlanError::Faulty { path: path.to_owned(), faults })
+        Self::parse(&text).map_err(|faults| PlanError::Invalid { path: path.to_owned(), faults })
     }
 
-    /// Reads a text; every fault of it at once.
+    /// Parses a plan; reports all errors at once.
     pub fn parse(text: &str) -> Result<Self, Vec<PlanFault>> {
         let (table, errors) = DeTable::parse_recoverable(text);
         let mut reader = Reader { text, faults: Vec::new(), plan: Self::default() };
@@ -120,23 +120,23 @@
     }
 }
 
-/// One thing that is wrong with a plan.
+/// An error in a plan.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlanFault {
-    /// The line, from 1 on.
+    /// The line number, from 1.
     pub line: usize,
-    /// The value's name.
-    pub place: String,
-    /// What stands there.
+    /// The full key of the value.
+    pub key: String,
+    /// The value found.
     pub found: String,
-    /// What would be right.
+    /// A description of valid values.
     pub expected: String,
 }
 
 impl fmt::Display for PlanFault {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { line, place, found, expected } = self;
-        write!(to, "line {line}: {place}: found {found}, expected {expected}")
+        let Self { line, key, found, expected } = self;
+        write!(to, "line {line}: {key}: found {found}, expected {expected}")
     }
 }
 
@@ -146,32 +146,32 @@
     /// The file could not be read.
     #[error("{path}: cannot be read: {error}", path = path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// The file is no plan: every fault of it.
-    #[error("{}", one_a_line(path, faults))]
-    Faulty {
-        /// The file.
+    /// The file is not a valid plan.
+    #[error("{}", one_per_line(path, faults))]
+    Invalid {
+        /// The path of the file.
         path: PathBuf,
-        /// All that is wrong.
+        /// All errors in the file.
         faults: Vec<PlanFault>,
     },
 }
 
-fn one_a_line(path: &Path, faults: &[PlanFault]) -> String {
+fn one_per_line(path: &Path, faults: &[PlanFault]) -> String {
     faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect::<Vec<_>>().join("\n")
 }
 
-/// A value of the file: where it stands, what it may be, and where it goes.
+/// A value of the file: its table and key, its valid range and the field of [`Plan`] it sets.
 struct Field {
     table: &'static str,
     name: &'static str,
     kind: Kind,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
     to: fn(&mut Plan) -> &mut f64,
 }
 
@@ -182,13 +182,13 @@
 }
 
 macro_rules! field {
-    ($table:literal, $name:literal, $kind:ident, $least:expr, $most:expr, $field:ident) => {
+    ($table:literal, $name:literal, $kind:ident, $min:expr, $max:expr, $field:ident) => {
         Field {
             table: $table,
             name: $name,
             kind: Kind::$kind,
-            least: $least,
-            most: $most,
+            min: $min,
+            max: $max,
             to: |plan| &mut plan.$field,
         }
     };
@@ -243,8 +243,8 @@
 
 impl Reader<'_> {
     fn read(&mut self, table: &DeTable) {
-        self.name(table);
-        self.unknown(table);
+        self.read_name(table);
+        self.check_unknown_keys(table);
         let mut missing: Vec<&str> = Vec::new();
         for field in &FIELDS {
             let Some(section) = table.get(field.table) else {
@@ -255,32 +255,32 @@
                 }
                 continue;
             };
-            // A section that is no table is told among the unknown names.
+            // A section that is not a table is reported by `check_unknown_keys`.
             if let DeValue::Table(section_table) = section.get_ref() {
-                self.value(field, section_table, section.span().start);
+                self.read_value(field, section_table, section.span().start);
             }
         }
         if self.faults.is_empty() {
-            self.relations(table);
+            self.check_relations(table);
         }
     }
 
-    fn name(&mut self, table: &DeTable) {
-        let expected = "a text that is not empty";
+    fn read_name(&mut self, table: &DeTable) {
+        let expected = "a non-empty string";
         match table.get("name").map(|value| (value.span().start, value.get_ref())) {
             Some((_, DeValue::String(name))) if !name.trim().is_empty() => self.plan.name = name.to_string(),
-            Some((at, found)) => self.fault(at, "name", shown(found), expected),
+            Some((at, found)) => self.fault(at, "name", describe(found), expected),
             None => self.fault(0, "name", "nothing".to_owned(), expected),
         }
     }
 
-    fn unknown(&mut self, table: &DeTable) {
+    fn check_unknown_keys(&mut self, table: &DeTable) {
         for (key, value) in table {
             let name = key.get_ref().as_ref();
             let known = FIELDS.iter().any(|field| field.table == name);
             match value.get_ref() {
-                DeValue::Table(section) if known => self.unknown_within(name, section),
-                found if known => self.fault(value.span().start, name, shown(found), "a table"),
+                DeValue::Table(section) if known => self.check_unknown_keys_in(name, section),
+                found if known => self.fault(value.span().start, name, describe(found), "a table"),
                 _ if name == "name" => {}
                 _ => {
                     let mut tables: Vec<_> = FIELDS.iter().map(|field| field.table).collect();
@@ -292,36 +292,35 @@
         }
     }
 
-    fn unknown_within(&mut self, table: &str, section: &DeTable) {
+    fn check_unknown_keys_in(&mut self, table: &str, section: &DeTable) {
         let known: Vec<_> =
             FIELDS.iter().filter(|field| field.table == table).map(|field| field.name).collect();
         for key in section.keys().filter(|key| !known.contains(&key.get_ref().as_ref())) {
-            let place = format!("{table}.{}", key.get_ref());
+            let full_key = format!("{table}.{}", key.get_ref());
             let expected = format!("one of {}", known.join(", "));
-            self.fault(key.span().start, &place, "a name that is not known".to_owned(), &expected);
+            self.fault(key.span().start, &full_key, "a name that is not known".to_owned(), &expected);
         }
     }
 
-    fn value(&mut self, field: &Field, section: &DeTable, section_at: usize) {
-        let place = format!("{}.{}", field.table, field.name);
+    fn read_value(&mut self, field: &Field, section: &DeTable, section_at: usize) {
+        let key = format!("{}.{}", field.table, field.name);
         let kind = if field.kind == Kind::Whole { "a whole number" } else { "a number" };
-        let expected = format!("{kind} from {} to {}", field.least, field.most);
+        let expected = format!("{kind} from {} to {}", field.min, field.max);
         let Some(value) = section.get(field.name) else {
-            return self.fault(section_at, &place, "nothing".to_owned(), &expected);
+            return self.fault(section_at, &key, "nothing".to_owned(), &expected);
         };
         let number = number(value);
         let fits = |number: &f64| {
-            (field.least..=field.most).contains(number)
-                && (field.kind == Kind::Number || number.fract() == 0.0)
+            (field.min..=field.max).contains(number) && (field.kind == Kind::Number || number.fract() == 0.0)
         };
         match number.filter(fits) {
             Some(number) => *(field.to)(&mut self.plan) = number,
-            None => self.fault(value.span().start, &place, shown(value.get_ref()), &expected),
+            None => self.fault(value.span().start, &key, describe(value.get_ref()), &expected),
         }
     }
 
-    /// What holds between values that are right by themselves.
-    fn relations(&mut self, table: &DeTable) {
+    /// Checks constraints between values; called only when each value is valid on its own.
+    fn check_relations(&mut self, table: &DeTable) {
         let plan = self.plan.clone();
         let at_most = [
             ("fleet", "sites", plan.sites, "fleet.nodes", plan.nodes),
@@ -345,23 +344,23 @@
                 plan.node_descriptors_most,
             ),
         ];
-        for (section, name, value, bound, most) in at_most {
-            if value > most {
-                let at = place_of(table, section, name);
-                let expected = format!("at most {bound}, which is {most}");
+        for (section, name, value, bound, max) in at_most {
+            if value > max {
+                let at = offset_of(table, section, name);
+                let expected = format!("at most {bound}, which is {max}");
                 self.fault(at, &format!("{section}.{name}"), value.to_string(), &expected);
             }
         }
     }
 
-    fn fault(&mut self, at: usize, place: &str, found: String, expected: &str) {
+    fn fault(&mut self, at: usize, key: &str, found: String, expected: &str) {
         let before = self.text.get(..at).unwrap_or(self.text);
         let line = before.matches('\n').count() + 1;
-        self.faults.push(PlanFault { line, place: place.to_owned(), found, expected: expected.to_owned() });
+        self.faults.push(PlanFault { line, key: key.to_owned(), found, expected: expected.to_owned() });
     }
 }
 
-fn place_of(table: &DeTable, section: &str, name: &str) -> usize {
+fn offset_of(table: &DeTable, section: &str, name: &str) -> usize {
     match table.get(section).map(Spanned::get_ref) {
         Some(DeValue::Table(section)) => section.get(name).map_or(0, |value| value.span().start),
         _ => 0,
@@ -378,7 +377,7 @@
     }
 }
 
-fn shown(value: &DeValue) -> String {
+fn describe(value: &DeValue) -> String {
     match value {
         DeValue::String(text) => format!("\"{text}\""),
         DeValue::Integer(whole) => whole.as_str().to_owned(),
--- a/lab/src/capacity/render.rs
+++ b/lab/src/capacity/render.rs
@@ -1,38 +1,38 @@
-//! The tables, as Markdown.
+//! Renders the tables as Markdown.
 
-use super::figures::{amount, count, number};
+use super::figures::{format_amount, format_count, format_number};
 use super::rows::{all_rows, Need, Role, Row};
-use super::solve::{over_budget, used_up_at, worst};
-use super::values::{size_against, Needed};
-use super::{demand, Case, Context, Gap, Plan, Resource, Value};
+use super::solve::{budget_ratio, exhausted_at, worst_case};
+use super::values::{plan_size, NeedResult};
+use super::{demand, Case, Context, Plan, Resource, Unavailable, Value};
 use crate::slopes::{Recorded, SlopesFile};
 
-const NOTHING: &str = "-";
+const NOT_APPLICABLE: &str = "-";
 const NOT_MEASURED: &str = "not measured";
 const NONE: &str = "none";
 
-/// Where plan and slopes come from, as the page names them.
+/// Paths of the plan and slopes files as shown on the page.
 #[derive(Clone, Copy, Debug)]
 pub struct Sources<'a> {
-    /// The plan file.
+    /// The path of the plan file.
     pub plan: &'a str,
-    /// The slopes file.
+    /// The path of the slopes file.
     pub slopes: &'a str,
 }
 
-/// All tables of a plan, one line each.
+/// Renders all tables of a plan, as lines.
 pub fn render(plan: &Plan, slopes: &SlopesFile, sources: Sources) -> Vec<String> {
     let tables = Tables { plan, slopes, rows: all_rows() };
     let mut lines = tables.heading(sources);
-    lines.extend(tables.first());
+    lines.extend(tables.shortfall_table());
     lines.extend(tables.missing_mechanisms());
     lines.extend(tables.not_measured());
     lines.extend(tables.arithmetic());
     for role in Role::ALL {
         lines.extend(tables.role(role));
     }
-    lines.extend(tables.measured());
-    lines.extend(tables.runs());
+    lines.extend(tables.series_table());
+    lines.extend(tables.run_table());
     lines
 }
 
@@ -42,11 +42,11 @@
     rows: Vec<Row>,
 }
 
-/// A row that comes first: why, and by how much.
-struct Urgent<'a> {
+/// A row without a mechanism (`need` is `None`) or with a need over its budget.
+struct Shortfall<'a> {
     row: &'a Row,
     need: Option<&'a Need>,
-    over: f64,
+    ratio: f64,
 }
 
 impl Tables<'_> {
@@ -59,7 +59,8 @@
             (regions, "regions"),
             (zones, "zones"),
         ];
-        let fleet: Vec<_> = fleet.iter().map(|(many, what)| format!("{} {what}", count(**many))).collect();
+        let fleet: Vec<_> =
+            fleet.iter().map(|(many, what)| format!("{} {what}", format_count(**many))).collect();
         vec![
             format!(
                 "Plan `{name}` ({}): {}. Slopes: {} ({} series).",
@@ -78,16 +79,17 @@
         ]
     }
 
-    fn first(&self) -> Vec<String> {
-        let mut urgent: Vec<_> = self.rows.iter().flat_map(|row| self.urgent(row)).collect();
-        let lacking = |one: &Urgent| one.need.is_none();
-        urgent.sort_by(|one, other| lacking(other).cmp(&lacking(one)).then(other.over.total_cmp(&one.over)));
+    fn shortfall_table(&self) -> Vec<String> {
+        let mut shortfalls: Vec<_> = self.rows.iter().flat_map(|row| self.shortfalls(row)).collect();
+        let lacking = |one: &Shortfall| one.need.is_none();
+        shortfalls
+            .sort_by(|one, other| lacking(other).cmp(&lacking(one)).then(other.ratio.total_cmp(&one.ratio)));
         let mut lines = heading("First: without a mechanism, or over budget");
         let mut table = vec![cells(&["role", "row", "why", "need over budget", "used up at, nodes"])];
-        for one in &urgent {
-            table.push(self.urgent_line(one));
+        for one in &shortfalls {
+            table.push(self.shortfall_line(one));
         }
-        if urgent.is_empty() {
+        if shortfalls.is_empty() {
             lines.push("None.".to_owned());
         } else {
             lines.extend(markdown(&table));
@@ -95,7 +97,7 @@
         lines
     }
 
-    /// Each missing mechanism, by how many rows wait for it.
+    /// Lists missing mechanisms, sorted by the number of rows that require them.
     fn missing_mechanisms(&self) -> Vec<String> {
         let mut missing: Vec<_> =
             self.rows.iter().filter_map(|row| row.mechanism.missing(self.slopes)).collect();
@@ -108,59 +110,60 @@
         let mut found: Vec<_> = missing
             .into_iter()
             .map(|mechanism| {
-                let carries = names(&|row| row.mechanism.missing(self.slopes) == Some(mechanism));
-                let lean = names(&|row| row.leans_on.contains(&mechanism));
-                (mechanism, carries, lean)
+                let carriers = names(&|row| row.mechanism.missing(self.slopes) == Some(mechanism));
+                let dependents = names(&|row| row.depends_on.contains(&mechanism));
+                (mechanism, carriers, dependents)
             })
             .collect();
-        found.sort_by_key(|(_, carries, lean)| std::cmp::Reverse(carries.len() + lean.len()));
+        found.sort_by_key(|(_, carriers, dependents)| std::cmp::Reverse(carriers.len() + dependents.len()));
         let mut lines = heading("Missing mechanisms, by the rows that wait for them");
         if found.is_empty() {
             lines.push("None.".to_owned());
             return lines;
         }
         let mut table = vec![cells(&["mechanism", "rows", "carries", "rows that lean on it"])];
-        table.extend(found.into_iter().map(|(mechanism, carries, lean)| {
-            let rows = (carries.len() + lean.len()).to_string();
-            let lean = if lean.is_empty() { NOTHING.to_owned() } else { lean.join("; ") };
-            vec![mechanism.to_owned(), rows, carries.join("; "), lean]
+        table.extend(found.into_iter().map(|(mechanism, carriers, dependents)| {
+            let rows = (carriers.len() + dependents.len()).to_string();
+            let dependents =
+                if dependents.is_empty() { NOT_APPLICABLE.to_owned() } else { dependents.join("; ") };
+            vec![mechanism.to_owned(), rows, carriers.join("; "), dependents]
         }));
         lines.extend(markdown(&table));
         lines
     }
 
-    fn urgent<'a>(&self, row: &'a Row) -> Vec<Urgent<'a>> {
+    fn shortfalls<'a>(&self, row: &'a Row) -> Vec<Shortfall<'a>> {
         let missing = row.mechanism.missing(self.slopes);
-        let without = missing.map(|_| Urgent { row, need: None, over: f64::INFINITY });
+        let without = missing.map(|_| Shortfall { row, need: None, ratio: f64::INFINITY });
         let over = row.needs.iter().filter_map(|need| {
-            let over = over_budget(need, self.plan, self.slopes)?;
-            (over > 1.0).then_some(Urgent { row, need: Some(need), over })
+            let ratio = budget_ratio(need, self.plan, self.slopes)?;
+            (ratio > 1.0).then_some(Shortfall { row, need: Some(need), ratio })
         });
         without.into_iter().chain(over).collect()
     }
 
-    fn urgent_line(&self, urgent: &Urgent) -> Vec<String> {
-        let Urgent { row, need, .. } = urgent;
+    fn shortfall_line(&self, shortfall: &Shortfall) -> Vec<String> {
+        let Shortfall { row, need, .. } = shortfall;
         let why = match need {
-            None => format!("no mechanism: {}", row.mechanism.missing(self.slopes).unwrap_or(NOTHING)),
+            None => format!("no mechanism: {}", row.mechanism.missing(self.slopes).unwrap_or(NOT_APPLICABLE)),
             Some(need) => {
-                let budget = need.budget.map_or(0.0, |budget| (budget.of)(self.plan));
-                let case = worst(need, self.plan, self.slopes);
+                let budget = need.budget.map_or(0.0, |budget| (budget.limit)(self.plan));
+                let case = worst_case(need, self.plan, self.slopes);
                 format!(
                     "{}: {} of {}",
                     label(need),
-                    case.map_or(NOTHING.to_owned(), |worst| format!(
+                    case.map_or(NOT_APPLICABLE.to_owned(), |worst| format!(
                         "{} ({})",
-                        shown(need.resource, &worst.value),
+                        format_value(need.resource, &worst.value),
                         worst.case
                     )),
-                    amount(need.resource, budget)
+                    format_amount(need.resource, budget)
                 )
             }
         };
         let (over, used_up) = match need {
-            None => (NOTHING.to_owned(), NOTHING.to_owned()),
-            Some(need) => (self.over(need), self.used_up(need)),
+            None => (NOT_APPLICABLE.to_owned(), NOT_APPLICABLE.to_owned()),
+            Some(need) => (self.ratio_cell(need), self.exhaustion_cell(need)),
         };
         vec![row.role.to_string(), row.name.to_owned(), why, over, used_up]
     }
@@ -170,19 +173,19 @@
         for need in self.rows.iter().flat_map(|row| &row.needs) {
             for case in Case::ALL {
                 let context = Context { plan: self.plan, slopes: self.slopes, case };
-                match (need.of)(&context) {
-                    Err(Gap::NotMeasured(series)) => missing.push(series),
-                    Err(Gap::NotUnderstood { series, found }) => {
+                match (need.value)(&context) {
+                    Err(Unavailable::NotMeasured(series)) => missing.push(series),
+                    Err(Unavailable::Unrecognized { series, found }) => {
                         missing.push(format!("{series} (\"{found}\" is not understood)"));
                     }
-                    Ok(_) | Err(Gap::NotApplicable) => {}
+                    Ok(_) | Err(Unavailable::NotApplicable) => {}
                 }
             }
         }
         let mut lines = heading("Not measured");
         lines.push(match missing.is_empty() {
             true => "None.".to_owned(),
-            false => format!("{}.", grouped(missing)),
+            false => format!("{}.", group_by_prefix(missing)),
         });
         lines
     }
@@ -192,20 +195,23 @@
         let node = demand::requests_per_node(plan, Case::Peak);
         let pair = demand::requests_per_pair(plan, Case::Peak);
         let figures = [
-            ("requests a second of a node", number(node)),
-            ("of a node and one server", number(pair)),
-            ("of a cold node and one server", number(pair * plan.cold_node_share)),
-            ("of a cache server", number(demand::requests_per_server(plan, Case::Peak))),
+            ("requests a second of a node", format_number(node)),
+            ("of a node and one server", format_number(pair)),
+            ("of a cold node and one server", format_number(pair * plan.cold_node_share)),
+            ("of a cache server", format_number(demand::requests_per_server(plan, Case::Peak))),
             (
                 "connections from nodes to servers, one for each pair",
-                count(demand::connections_at_least(plan)),
+                format_count(demand::node_server_pairs(plan)),
             ),
-            ("objects of a cache server, each kept once", count(demand::objects_per_server(plan))),
-            ("bytes of an answer, by the plan", count(demand::planned_answer_bytes(plan))),
-            ("Tbit/s at the peak with the largest body", number(demand::terabits_within_protocol(plan))),
-            ("changes of configuration a second", number(demand::configuration_per_second(plan))),
-            ("entries a day, purges and changes", count(demand::entries_per_second(plan) * 86_400.0)),
-            ("purges that a region misses while cut off", count(demand::purges_missed(plan))),
+            ("objects of a cache server, each kept once", format_count(demand::objects_per_server(plan))),
+            ("bytes of an answer, by the plan", format_count(demand::planned_answer_bytes(plan))),
+            (
+                "Tbit/s at the peak with the largest body",
+                format_number(demand::terabits_within_protocol(plan)),
+            ),
+            ("changes of configuration a second", format_number(demand::configuration_per_second(plan))),
+            ("entries a day, purges and changes", format_count(demand::entries_per_second(plan) * 86_400.0)),
+            ("purges that a region misses while cut off", format_count(demand::purges_missed(plan))),
             ("nodes of a site, a zone, a region", self.nodes_by_place()),
         ];
         let mut table = vec![cells(&["figure", "value"])];
@@ -217,7 +223,7 @@
 
     fn nodes_by_place(&self) -> String {
         let Plan { nodes, sites, zones, regions, .. } = self.plan;
-        [sites, zones, regions].map(|places| number(nodes / places)).join(", ")
+        [sites, zones, regions].map(|places| format_number(nodes / places)).join(", ")
     }
 
     fn role(&self, role: Role) -> Vec<String> {
@@ -247,23 +253,23 @@
         lines
     }
 
-    /// A row at the peak.
+    /// The line of a row at the peak.
     fn row_line(&self, row: &Row) -> Vec<String> {
         let context = Context { plan: self.plan, slopes: self.slopes, case: Case::Peak };
         let of = |resource: Resource| {
             let needs = row.needs.iter().filter(|need| need.resource == resource);
             let parts: Vec<_> = needs
                 .map(|need| {
-                    let value = written(need.resource, &(need.of)(&context));
-                    if need.what.is_empty() {
+                    let value = format_need(need.resource, &(need.value)(&context));
+                    if need.label.is_empty() {
                         value
                     } else {
-                        format!("{value} {}", need.what)
+                        format!("{value} {}", need.label)
                     }
                 })
                 .collect();
             if parts.is_empty() {
-                NOTHING.to_owned()
+                NOT_APPLICABLE.to_owned()
             } else {
                 parts.join("; ")
             }
@@ -271,24 +277,24 @@
         let tightest = row
             .needs
             .iter()
-            .filter_map(|need| Some((need, over_budget(need, self.plan, self.slopes)?)))
+            .filter_map(|need| Some((need, budget_ratio(need, self.plan, self.slopes)?)))
             .max_by(|one, other| one.1.total_cmp(&other.1));
         let (over, used_up) = match tightest {
-            Some((need, over)) => {
-                let case = worst(need, self.plan, self.slopes).map(|worst| worst.case.to_string());
+            Some((need, ratio)) => {
+                let case = worst_case(need, self.plan, self.slopes).map(|worst| worst.case.to_string());
                 let case = case.unwrap_or_default();
-                (format!("{} ({}; {case})", number(over), label(need)), self.used_up(need))
+                (format!("{} ({}; {case})", format_number(ratio), label(need)), self.exhaustion_cell(need))
             }
             None if row.needs.iter().any(|need| need.budget.is_some()) => {
                 (NOT_MEASURED.to_owned(), NOT_MEASURED.to_owned())
             }
-            None => ("no budget".to_owned(), NOTHING.to_owned()),
+            None => ("no budget".to_owned(), NOT_APPLICABLE.to_owned()),
         };
         let mechanism = match row.mechanism.modules(self.slopes) {
             Some(modules) => {
                 modules.split(", ").map(|module| format!("`{module}`")).collect::<Vec<_>>().join(", ")
             }
-            None => format!("{NONE}: {}", row.mechanism.missing(self.slopes).unwrap_or(NOTHING)),
+            None => format!("{NONE}: {}", row.mechanism.missing(self.slopes).unwrap_or(NOT_APPLICABLE)),
         };
         vec![
             row.name.to_owned(),
@@ -306,7 +312,7 @@
     fn case_names(&self) -> Vec<String> {
         let mut names = cells(&["row", "need"]);
         names.extend(Case::ALL.map(|case| match case {
-            Case::RestartsAtOnce => format!("{} restarts at once", count(self.plan.restarts_at_once)),
+            Case::RestartsAtOnce => format!("{} restarts at once", format_count(self.plan.restarts_at_once)),
             case => case.to_string(),
         }));
         names.extend(cells(&["budget", "need over budget", "used up at, nodes", "worked out from"]));
@@ -314,34 +320,36 @@
     }
 
     fn need_line(&self, row: &Row, need: &Need) -> Vec<String> {
-        let all = Case::ALL.map(|case| (need.of)(&Context { plan: self.plan, slopes: self.slopes, case }));
+        let all = Case::ALL.map(|case| (need.value)(&Context { plan: self.plan, slopes: self.slopes, case }));
         let budget = match need.budget {
-            Some(budget) => format!("{} ({})", amount(need.resource, (budget.of)(self.plan)), budget.by),
+            Some(budget) => {
+                format!("{} ({})", format_amount(need.resource, (budget.limit)(self.plan)), budget.source)
+            }
             None => NONE.to_owned(),
         };
         let mut line = vec![row.name.to_owned(), label(need)];
-        line.extend(all.iter().map(|needed| written(need.resource, needed)));
-        line.extend([budget, self.over(need), self.used_up(need), sources_of(&all)]);
+        line.extend(all.iter().map(|needed| format_need(need.resource, needed)));
+        line.extend([budget, self.ratio_cell(need), self.exhaustion_cell(need), inputs_of(&all)]);
         line
     }
 
-    fn over(&self, need: &Need) -> String {
-        match (need.budget, over_budget(need, self.plan, self.slopes)) {
-            (None, _) => NOTHING.to_owned(),
-            (Some(_), Some(over)) => number(over),
+    fn ratio_cell(&self, need: &Need) -> String {
+        match (need.budget, budget_ratio(need, self.plan, self.slopes)) {
+            (None, _) => NOT_APPLICABLE.to_owned(),
+            (Some(_), Some(ratio)) => format_number(ratio),
             (Some(_), None) => NOT_MEASURED.to_owned(),
         }
     }
 
-    fn used_up(&self, need: &Need) -> String {
-        match (need.budget, used_up_at(need, self.plan, self.slopes)) {
-            (None, _) => NOTHING.to_owned(),
+    fn exhaustion_cell(&self, need: &Need) -> String {
+        match (need.budget, exhausted_at(need, self.plan, self.slopes)) {
+            (None, _) => NOT_APPLICABLE.to_owned(),
             (Some(_), Some(at)) => at.to_string(),
             (Some(_), None) => NOT_MEASURED.to_owned(),
         }
     }
 
-    fn measured(&self) -> Vec<String> {
+    fn series_table(&self) -> Vec<String> {
         let names = [
             "series",
             "method",
@@ -367,28 +375,28 @@
     fn series_line(&self, recorded: &Recorded) -> Vec<String> {
         let Recorded { series, fit, .. } = recorded;
         let rate = demand::requests_per_node(self.plan, Case::Peak);
-        let at = match size_against(&series.against, self.plan, Case::Peak, rate) {
+        let at = match plan_size(&series.against, self.plan, Case::Peak, rate) {
             Some(size) => {
-                let estimate = fit.at(size);
-                format!("{}: {} ({})", number(size), number(estimate.value), estimate.reach)
+                let estimate = fit.mean_at(size);
+                format!("{}: {} ({})", format_number(size), format_number(estimate.value), estimate.reach)
             }
-            None => NOTHING.to_owned(),
+            None => NOT_APPLICABLE.to_owned(),
         };
-        let sizes: Vec<_> = fit.means.iter().map(|mean| number(mean.size)).collect();
+        let sizes: Vec<_> = fit.means.iter().map(|mean| format_number(mean.size)).collect();
         vec![
             format!("`{}`, {}", series.name, series.unit),
             series.method.to_string(),
             series.against.clone(),
             sizes.join(" / "),
             fit.plays.to_string(),
-            fit.formula(number),
-            format!("{} ({}%)", number(fit.residual), number(100.0 * fit.relative_residual)),
-            number(fit.r_squared),
+            fit.formula(format_number),
+            format!("{} ({}%)", format_number(fit.residual), format_number(100.0 * fit.relative_residual)),
+            format_number(fit.r_squared),
             at,
         ]
     }
 
-    fn runs(&self) -> Vec<String> {
+    fn run_table(&self) -> Vec<String> {
         let mut table = vec![cells(&["run", "series", "date", "commit", "cores", "seeds"])];
         let mut done: Vec<(&str, &str, &str)> = Vec::new();
         for recorded in self.slopes.recorded() {
@@ -432,28 +440,28 @@
 }
 
 fn label(need: &Need) -> String {
-    match need.what {
+    match need.label {
         "" => need.resource.to_string(),
         what => format!("{}, {what}", need.resource),
     }
 }
 
-fn written(resource: Resource, needed: &Needed) -> String {
+fn format_need(resource: Resource, needed: &NeedResult) -> String {
     match needed {
-        Ok(value) => shown(resource, value),
-        Err(Gap::NotApplicable) => NOTHING.to_owned(),
-        Err(Gap::NotMeasured(_)) => NOT_MEASURED.to_owned(),
-        Err(Gap::NotUnderstood { .. }) => "unit not understood".to_owned(),
+        Ok(value) => format_value(resource, value),
+        Err(Unavailable::NotApplicable) => NOT_APPLICABLE.to_owned(),
+        Err(Unavailable::NotMeasured(_)) => NOT_MEASURED.to_owned(),
+        Err(Unavailable::Unrecognized { .. }) => "unit not understood".to_owned(),
     }
 }
 
-fn shown(resource: Resource, value: &Value) -> String {
-    let at_least = if value.at_least { ">= " } else { "" };
+fn format_value(resource: Resource, value: &Value) -> String {
+    let at_least = if value.is_lower_bound { ">= " } else { "" };
     let extrapolated = if value.extrapolated { "~" } else { "" };
-    format!("{at_least}{extrapolated}{}", amount(resource, value.number))
+    format!("{at_least}{extrapolated}{}", format_amount(resource, value.number))
 }
 
-fn sources_of(all: &[Needed]) -> String {
+fn inputs_of(all: &[NeedResult]) -> String {
     let mut measured: Vec<String> = Vec::new();
     let mut missing: Vec<String> = Vec::new();
     let mut by_plan = false;
@@ -463,8 +471,10 @@
                 by_plan |= value.inputs.is_empty();
                 measured.extend(value.inputs.iter().cloned());
             }
-            Err(Gap::NotMeasured(series) | Gap::NotUnderstood { series, .. }) => missing.push(series.clone()),
-            Err(Gap::NotApplicable) => {}
+            Err(Unavailable::NotMeasured(series) | Unavailable::Unrecognized { series, .. }) => {
+                missing.push(series.clone())
+            }
+            Err(Unavailable::NotApplicable) => {}
         }
     }
     let mut parts = Vec::new();
@@ -472,16 +482,16 @@
         parts.push("the plan".to_owned());
     }
     if !measured.is_empty() {
-        parts.push(grouped(measured));
+        parts.push(group_by_prefix(measured));
     }
     if !missing.is_empty() {
-        parts.push(format!("{NOT_MEASURED}: {}", grouped(missing)));
+        parts.push(format!("{NOT_MEASURED}: {}", group_by_prefix(missing)));
     }
     parts.join("; ")
 }
 
-/// Names in order, each once; those with their first two parts in common stand together.
-fn grouped(mut names: Vec<String>) -> String {
+/// Sorts and deduplicates names; names that share their first two dotted parts are merged as `a.b.{c, d}`.
+fn group_by_prefix(mut names: Vec<String>) -> String {
     names.sort();
     names.dedup();
     let stem = |name: &str| -> Option<usize> { Some(name.match_indices('.').nth(1)?.0 + 1) };
@@ -507,7 +517,7 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// The first line is the head.
+/// Formats a table whose first line is the header.
 fn markdown(table: &[Vec<String>]) -> Vec<String> {
     let line = |cells: &Vec<String>| {
         let escaped: Vec<_> = cells.iter().map(|cell| cell.replace('|', "\\|")).collect();
--- a/lab/src/capacity/rows/cache_server.rs
+++ b/lab/src/capacity/rows/cache_server.rs
@@ -1,7 +1,7 @@
-//! What cache servers, discovery's agents and the origin bear.
+//! Rows of cache servers, discovery agents and the origin.
 
-use super::{need, within, Mechanism, Need, Resource, Role, Row, DISSEMINATION, SERVER_PURGE};
-use crate::capacity::figures::{count, number};
+use super::{need, need_with_budget, Mechanism, Need, Resource, Role, Row, DISSEMINATION, SERVER_PURGE};
+use crate::capacity::figures::{format_count, format_number};
 use crate::capacity::{demand, Context, Plan, Value};
 
 pub(super) fn rows() -> Vec<Row> {
@@ -15,7 +15,7 @@
     mechanism: Mechanism,
     needs: Vec<Need>,
 ) -> Row {
-    Row { role, name, state, mechanism, leans_on: &[], needs }
+    Row { role, name, state, mechanism, depends_on: &[], needs }
 }
 
 fn rate(context: &Context) -> f64 {
@@ -26,18 +26,18 @@
     row(
         Role::CacheServer,
         "requests, an even part",
-        |plan| format!("{} objects, each kept once", count(demand::objects_per_server(plan))),
+        |plan| format!("{} objects, each kept once", format_count(demand::objects_per_server(plan))),
         Mechanism::Modules("src/policy/placement.rs, src/policy/admission.rs"),
         vec![
-            need(Resource::Messages, |context| Ok(Value::plan(rate(context)))).called("requests"),
+            need(Resource::Messages, |context| Ok(Value::from_plan(rate(context)))).labelled("requests"),
             need(Resource::Bytes, |context| {
-                Ok(Value::plan(rate(context) * demand::answer_bytes(context.plan)))
+                Ok(Value::from_plan(rate(context) * demand::answer_bytes(context.plan)))
             })
-            .called("answers within the protocol"),
+            .labelled("answers within the protocol"),
             need(Resource::Bytes, |context| {
-                Ok(Value::plan(rate(context) * demand::planned_answer_bytes(context.plan)))
+                Ok(Value::from_plan(rate(context) * demand::planned_answer_bytes(context.plan)))
             })
-            .called("answers as planned"),
+            .labelled("answers as planned"),
         ],
     )
 }
@@ -46,13 +46,13 @@
     row(
         Role::CacheServer,
         "connections, at the least",
-        |plan| format!("one for each of {} nodes", count(plan.nodes)),
+        |plan| format!("one for each of {} nodes", format_count(plan.nodes)),
         Mechanism::Modules("src/net/upstream.rs"),
-        vec![within(
+        vec![need_with_budget(
             Resource::Connections,
             "the smallest cache server of today",
             |plan| plan.server_connections_least,
-            |context| Ok(Value::plan(demand::connections_of_server(context.plan, context.case))),
+            |context| Ok(Value::from_plan(demand::min_connections_of_server(context.plan, context.case))),
         )],
     )
 }
@@ -61,12 +61,12 @@
     let row = row(
         Role::CacheServer,
         "purges, done at the server",
-        |plan| format!("the kept copies of {} objects", count(demand::objects_per_server(plan))),
+        |plan| format!("the kept copies of {} objects", format_count(demand::objects_per_server(plan))),
         Mechanism::Missing(SERVER_PURGE),
-        vec![need(Resource::Messages, |context| Ok(Value::plan(context.plan.purges_per_second)))
-            .called("purges")],
+        vec![need(Resource::Messages, |context| Ok(Value::from_plan(context.plan.purges_per_second)))
+            .labelled("purges")],
     );
-    Row { leans_on: &[DISSEMINATION], ..row }
+    Row { depends_on: &[DISSEMINATION], ..row }
 }
 
 fn trials() -> Row {
@@ -77,25 +77,25 @@
         Mechanism::Modules("src/policy/breaker.rs, src/policy/admission.rs"),
         vec![
             need(Resource::Messages, |context| {
-                context.largest("trials.requests_per_second.down", Resource::Messages)
+                context.max("trials.requests_per_second.down", Resource::Messages)
             })
-            .called("trials of one that is down"),
+            .labelled("trials of one that is down"),
             need(Resource::Messages, |context| {
-                context.largest("trials.requests_per_second.cold", Resource::Messages)
+                context.max("trials.requests_per_second.cold", Resource::Messages)
             })
-            .called("requests to a cold one"),
+            .labelled("requests to a cold one"),
             need(Resource::Messages, |context| {
-                context.largest("trials.requests_per_second.returning", Resource::Messages)
+                context.max("trials.requests_per_second.returning", Resource::Messages)
             })
-            .called("requests to a returning one"),
+            .labelled("requests to a returning one"),
             need(Resource::Messages, |context| {
-                context.largest("trials.requests_per_second.returning.largest", Resource::Messages)
+                context.max("trials.requests_per_second.returning.largest", Resource::Messages)
             })
-            .called("the same, in the largest second"),
+            .labelled("the same, in the largest second"),
             need(Resource::Messages, |context| {
-                context.largest("trials.connections_per_second.returning.largest", Resource::Messages)
+                context.max("trials.connections_per_second.returning.largest", Resource::Messages)
             })
-            .called("new connections to it, in the largest second"),
+            .labelled("new connections to it, in the largest second"),
         ],
     )
 }
@@ -104,18 +104,18 @@
     row(
         Role::DiscoveryAgent,
         "the whole list, at a node's start",
-        |plan| format!("{} servers", count(plan.servers)),
+        |plan| format!("{} servers", format_count(plan.servers)),
         Mechanism::Modules("src/net/discovery.rs"),
         vec![
             need(Resource::Memory, |context| context.mean("discovery.list_bytes", Resource::Memory))
-                .called("bytes of a list"),
-            within(
+                .labelled("bytes of a list"),
+            need_with_budget(
                 Resource::Seconds,
                 "counts as told",
                 |plan| plan.told_within_seconds,
-                |context| context.largest("discovery.list_seconds", Resource::Seconds),
+                |context| context.max("discovery.list_seconds", Resource::Seconds),
             )
-            .called("until it is in use"),
+            .labelled("until it is in use"),
         ],
     )
 }
@@ -124,16 +124,24 @@
     row(
         Role::DiscoveryAgent,
         "weights, renewed for every server",
-        |plan| format!("{} weights, every {} s", count(plan.servers), number(plan.weights_every_seconds)),
+        |plan| {
+            format!(
+                "{} weights, every {} s",
+                format_count(plan.servers),
+                format_number(plan.weights_every_seconds)
+            )
+        },
         Mechanism::Modules("src/net/discovery.rs"),
         vec![
-            need(Resource::Messages, |context| Ok(Value::plan(1.0 / context.plan.weights_every_seconds)))
-                .called("renewals"),
+            need(Resource::Messages, |context| {
+                Ok(Value::from_plan(1.0 / context.plan.weights_every_seconds))
+            })
+            .labelled("renewals"),
             need(Resource::Bytes, |context| {
                 let list = context.mean("discovery.list_bytes", Resource::Memory)?;
-                Ok(list.times(1.0 / context.plan.weights_every_seconds))
+                Ok(list.scaled(1.0 / context.plan.weights_every_seconds))
             })
-            .called("a list's bytes each time"),
+            .labelled("a list's bytes each time"),
         ],
     )
 }
@@ -142,15 +150,15 @@
     row(
         Role::DiscoveryAgent,
         "watches of all nodes together",
-        |plan| format!("{} watches", count(plan.nodes)),
+        |plan| format!("{} watches", format_count(plan.nodes)),
         Mechanism::Modules("src/net/discovery.rs"),
         vec![
             need(Resource::Messages, |context| {
                 context.mean("discovery.watch_calls_per_second", Resource::Messages)
             })
-            .called("calls"),
+            .labelled("calls"),
             need(Resource::Memory, |context| context.mean("discovery.change_bytes", Resource::Memory))
-                .called("bytes of a change"),
+                .labelled("bytes of a change"),
         ],
     )
 }
@@ -161,13 +169,16 @@
         "fetches, at the most",
         |plan| {
             let lost = 1.0 / plan.zones;
-            let zone = count(plan.objects * lost);
+            let zone = format_count(plan.objects * lost);
             format!("each node its own verdict; a zone's loss takes the kept copies of {zone} objects")
         },
         Mechanism::Modules("src/policy/origin.rs"),
-        vec![within(Resource::Messages, "headroom of today's origin", demand::fetches_taken, |context| {
-            Ok(Value::plan(demand::fetches(context.plan, context.case)))
-        })
-        .called("fetches, all lost copies missed at once")],
+        vec![need_with_budget(
+            Resource::Messages,
+            "headroom of today's origin",
+            demand::origin_fetch_capacity,
+            |context| Ok(Value::from_plan(demand::origin_fetches(context.plan, context.case))),
+        )
+        .labelled("fetches, all lost copies missed at once")],
     )
 }
--- a/lab/src/capacity/rows/control.rs
+++ b/lab/src/capacity/rows/control.rs
@@ -1,17 +1,17 @@
-//! What a node spends beside the request path: membership, dissemination and values in force.
+//! Rows of the control functions of a node: membership, dissemination and live configuration.
 
-use super::{need, within, Mechanism, Need, Resource, Role, Row, DISSEMINATION, LIVE_VALUES};
-use crate::capacity::figures::count;
-use crate::capacity::values::Needed;
-use crate::capacity::{demand, Case, Context, Gap, Plan, Value};
+use super::{need, need_with_budget, Mechanism, Need, Resource, Role, Row, DISSEMINATION, LIVE_VALUES};
+use crate::capacity::figures::format_count;
+use crate::capacity::values::NeedResult;
+use crate::capacity::{demand, Case, Context, Plan, Unavailable, Value};
 
 const BYTES: &str = "the plan, all of control";
 const CORE: &str = "the plan, all of control";
 const MEMORY: &str = "the smaller of plan and smallest node";
-/// Headers of UDP and of IP, version 4: budgets and series count datagrams without them.
-const HEADERS: f64 = 28.0;
+/// Size of the UDP and IPv4 headers; budgets and series count datagrams without them.
+const UDP_IP_HEADER_BYTES: f64 = 28.0;
 /// The largest datagram between peers.
-const DATAGRAM: f64 = walkpick::peers::MAX_DATAGRAM_BYTES as f64;
+const MAX_DATAGRAM_BYTES: f64 = walkpick::peers::MAX_DATAGRAM_BYTES as f64;
 const LOG_TIME: &str = "dissemination.seconds_to_all.log";
 const STATE_TIME: &str = "dissemination.seconds_to_all.state";
 
@@ -21,60 +21,60 @@
         whole_list(),
         purges(),
         configuration(),
-        values_in_force(),
-        together(),
-        together_hollow(),
+        live_configuration(),
+        combined(),
+        combined_hollow(),
     ]
 }
 
 fn row(name: &'static str, state: fn(&Plan) -> String, mechanism: Mechanism, needs: Vec<Need>) -> Row {
-    Row { role: Role::Control, name, state, mechanism, leans_on: &[], needs }
+    Row { role: Role::Control, name, state, mechanism, depends_on: &[], needs }
 }
 
-fn bytes(of: fn(&Context) -> Needed) -> Need {
-    within(Resource::Bytes, BYTES, demand::control_bytes_budget, of)
+fn bytes(of: fn(&Context) -> NeedResult) -> Need {
+    need_with_budget(Resource::Bytes, BYTES, demand::control_bytes_budget, of)
 }
 
-fn cores(of: fn(&Context) -> Needed) -> Need {
-    within(Resource::Processor, CORE, |plan| plan.control_core_fraction, of)
+fn cores(of: fn(&Context) -> NeedResult) -> Need {
+    need_with_budget(Resource::Processor, CORE, |plan| plan.control_core_fraction, of)
 }
 
-fn memory(of: fn(&Context) -> Needed) -> Need {
-    within(Resource::Memory, MEMORY, demand::control_memory_budget, of)
+fn memory(of: fn(&Context) -> NeedResult) -> Need {
+    need_with_budget(Resource::Memory, MEMORY, demand::control_memory_budget, of)
 }
 
 fn membership() -> Row {
     row(
         "membership",
-        |plan| format!("{} members", count(plan.nodes)),
+        |plan| format!("{} members", format_count(plan.nodes)),
         Mechanism::Modules("src/peers/, src/net/peers.rs"),
         vec![
             need(Resource::Messages, |context| match context.case {
                 Case::OrdinaryDay | Case::Peak => {
-                    context.largest("membership.datagrams_per_second.rest", Resource::Messages)
+                    context.max("membership.datagrams_per_second.rest", Resource::Messages)
                 }
-                _ => Err(Gap::NotApplicable),
+                _ => Err(Unavailable::NotApplicable),
             })
-            .called("datagrams at rest"),
-            within(
+            .labelled("datagrams at rest"),
+            need_with_budget(
                 Resource::Bytes,
                 "membership's part of control",
                 demand::membership_bytes_budget,
                 membership_bytes,
             )
-            .called("largest 5 s mean"),
+            .labelled("largest 5 s mean"),
             need(Resource::Bytes, |context| match context.case {
                 Case::OrdinaryDay | Case::Peak => {
-                    let sent = context.largest("membership.datagrams_per_second.rest", Resource::Messages)?;
-                    Ok(sent.times(HEADERS))
+                    let sent = context.max("membership.datagrams_per_second.rest", Resource::Messages)?;
+                    Ok(sent.scaled(UDP_IP_HEADER_BYTES))
                 }
-                _ => Err(Gap::NotApplicable),
+                _ => Err(Unavailable::NotApplicable),
             })
-            .called("headers of UDP and IP beside it"),
-            cores(membership_cores).called("its code without sockets"),
+            .labelled("headers of UDP and IP beside it"),
+            cores(membership_cores).labelled("its code without sockets"),
             memory(membership_memory),
-            need(Resource::Seconds, seconds_to_know).called("until all know"),
-            need(Resource::Seconds, seconds_to_agree).called("until views agree"),
+            need(Resource::Seconds, seconds_to_know).labelled("until all know"),
+            need(Resource::Seconds, seconds_to_agree).labelled("until views agree"),
         ],
     )
 }
@@ -82,16 +82,22 @@
 fn whole_list() -> Row {
     row(
         "membership, a whole list told once",
-        |plan| format!("{} identities, in datagrams of at most {} B", count(plan.nodes), count(DATAGRAM)),
+        |plan| {
+            format!(
+                "{} identities, in datagrams of at most {} B",
+                format_count(plan.nodes),
+                format_count(MAX_DATAGRAM_BYTES)
+            )
+        },
         Mechanism::Modules("src/peers/"),
         vec![
             need(Resource::Memory, |context| context.mean("membership.list_bytes", Resource::Memory))
-                .called("bytes of a list"),
+                .labelled("bytes of a list"),
             need(Resource::Seconds, |context| {
                 let list = context.mean("membership.list_bytes", Resource::Memory)?;
-                Ok(list.times(1.0 / demand::control_bytes_budget(context.plan)))
+                Ok(list.scaled(1.0 / demand::control_bytes_budget(context.plan)))
             })
-            .called("at the whole budget"),
+            .labelled("at the whole budget"),
         ],
     )
 }
@@ -102,9 +108,9 @@
         |plan| {
             format!(
                 "entries of up to {} B for repair; {} of them missed by a region cut off for {} s",
-                count(plan.entry_largest_bytes),
-                count(demand::purges_missed(plan)),
-                count(plan.region_cut_seconds)
+                format_count(plan.entry_largest_bytes),
+                format_count(demand::purges_missed(plan)),
+                format_count(plan.region_cut_seconds)
             )
         },
         Mechanism::OnceMeasured {
@@ -113,17 +119,17 @@
             series: LOG_TIME,
         },
         vec![
-            need(Resource::Messages, |context| Ok(Value::plan(context.plan.purges_per_second)))
-                .called("entries"),
-            bytes(dissemination_bytes).called("largest 5 s mean, membership's with it"),
-            memory(|context| context.largest("dissemination.memory", Resource::Memory)),
-            within(
+            need(Resource::Messages, |context| Ok(Value::from_plan(context.plan.purges_per_second)))
+                .labelled("entries"),
+            bytes(dissemination_bytes).labelled("largest 5 s mean, membership's with it"),
+            memory(|context| context.max("dissemination.memory", Resource::Memory)),
+            need_with_budget(
                 Resource::Seconds,
                 "the plan",
                 |plan| plan.purge_within_seconds,
-                |context| in_calm(context, LOG_TIME, Resource::Seconds),
+                |context| without_failure(context, LOG_TIME, Resource::Seconds),
             )
-            .called("to all nodes, the largest"),
+            .labelled("to all nodes, the largest"),
         ],
     )
 }
@@ -131,7 +137,7 @@
 fn configuration() -> Row {
     row(
         "configuration, the newest to every node",
-        |plan| format!("one version; {} changes a day", count(plan.configuration_changes_per_day)),
+        |plan| format!("one version; {} changes a day", format_count(plan.configuration_changes_per_day)),
         Mechanism::OnceMeasured {
             name: DISSEMINATION,
             modules: "src/peers/dissemination/",
@@ -139,151 +145,151 @@
         },
         vec![
             need(Resource::Messages, |context| {
-                Ok(Value::plan(demand::configuration_per_second(context.plan)))
+                Ok(Value::from_plan(demand::configuration_per_second(context.plan)))
             })
-            .called("changes"),
+            .labelled("changes"),
             bytes(|context| {
                 let rate = demand::configuration_per_second(context.plan);
-                Ok(Value::plan(rate * context.plan.entry_largest_bytes))
+                Ok(Value::from_plan(rate * context.plan.entry_largest_bytes))
             })
-            .called("each change once, in the mean"),
-            within(
+            .labelled("each change once, in the mean"),
+            need_with_budget(
                 Resource::Seconds,
                 "the plan",
                 |plan| plan.configuration_within_seconds,
-                |context| in_calm(context, STATE_TIME, Resource::Seconds),
+                |context| without_failure(context, STATE_TIME, Resource::Seconds),
             )
-            .called("to all nodes, the largest"),
+            .labelled("to all nodes, the largest"),
         ],
     )
 }
 
-fn values_in_force() -> Row {
+fn live_configuration() -> Row {
     let row = row(
         "configuration, put in force while running",
         |_| "one value: discovery's address, read anew at SIGHUP (src/net/config/)".to_owned(),
         Mechanism::Missing(LIVE_VALUES),
         vec![need(Resource::Messages, |context| {
-            Ok(Value::plan(demand::configuration_per_second(context.plan)))
+            Ok(Value::from_plan(demand::configuration_per_second(context.plan)))
         })
-        .called("changes")],
+        .labelled("changes")],
     );
-    Row { leans_on: &[DISSEMINATION], ..row }
+    Row { depends_on: &[DISSEMINATION], ..row }
 }
 
-fn together() -> Row {
+fn combined() -> Row {
     row(
         "membership and dissemination together",
         |_| "as above".to_owned(),
         Mechanism::Modules("src/peers/budget.rs"),
         vec![
-            bytes(bytes_together).called("should both peaks fall together"),
+            bytes(combined_bytes).labelled("should both peaks fall together"),
             memory(|context| {
-                let dissemination = context.largest("dissemination.memory", Resource::Memory)?;
+                let dissemination = context.max("dissemination.memory", Resource::Memory)?;
                 Ok(membership_memory(context)?.plus(dissemination))
             }),
         ],
     )
 }
 
-fn together_hollow() -> Row {
+fn combined_hollow() -> Row {
     row(
         "all of control, hollow nodes on UDP sockets",
-        |plan| format!("{} members, and what dissemination keeps", count(plan.nodes)),
+        |plan| format!("{} members, and what dissemination keeps", format_count(plan.nodes)),
         Mechanism::Modules("src/peers/, src/net/peers.rs"),
         vec![
-            bytes(hollow_bytes).called("largest 5 s mean"),
+            bytes(hollow_bytes).labelled("largest 5 s mean"),
             cores(hollow_cores),
-            memory(|context| in_calm(context, "hollow.memory_bytes", Resource::Memory)),
-            within(
+            memory(|context| without_failure(context, "hollow.memory_bytes", Resource::Memory)),
+            need_with_budget(
                 Resource::Seconds,
                 "the plan",
                 |plan| plan.purge_within_seconds,
-                |context| in_calm(context, "hollow.seconds_to_all.log", Resource::Seconds),
+                |context| without_failure(context, "hollow.seconds_to_all.log", Resource::Seconds),
             )
-            .called("a purge to all nodes"),
-            within(
+            .labelled("a purge to all nodes"),
+            need_with_budget(
                 Resource::Seconds,
                 "the plan",
                 |plan| plan.configuration_within_seconds,
-                |context| in_calm(context, "hollow.seconds_to_all.state", Resource::Seconds),
+                |context| without_failure(context, "hollow.seconds_to_all.state", Resource::Seconds),
             )
-            .called("a change to all nodes"),
+            .labelled("a change to all nodes"),
         ],
     )
 }
 
-/// What is measured without a failure counts for the ordinary day and the peak.
-fn in_calm(context: &Context, name: &str, resource: Resource) -> Needed {
+/// A series measured without failures; it applies to the ordinary day and the peak only.
+fn without_failure(context: &Context, name: &str, resource: Resource) -> NeedResult {
     match context.case {
-        Case::OrdinaryDay | Case::Peak => context.largest(name, resource),
-        _ => Err(Gap::NotApplicable),
+        Case::OrdinaryDay | Case::Peak => context.max(name, resource),
+        _ => Err(Unavailable::NotApplicable),
     }
 }
 
-fn membership_bytes(context: &Context) -> Needed {
+fn membership_bytes(context: &Context) -> NeedResult {
     let rest = || {
-        context.first_of(
+        context.max_of_first_measured(
             &["membership.bytes_per_second.peak.rest", "membership.bytes_per_second.rest"],
             Resource::Bytes,
         )
     };
     match context.case {
         Case::OrdinaryDay => {
-            let kill = context.largest("membership.bytes_per_second.peak.kill", Resource::Bytes);
-            with_a_loss(rest(), kill)
+            let kill = context.max("membership.bytes_per_second.peak.kill", Resource::Bytes);
+            max_of_idle_and_loss(rest(), kill)
         }
         Case::Peak => rest(),
-        _ => by_case(context, "membership.bytes_per_second.peak.", Resource::Bytes),
+        _ => case_series(context, "membership.bytes_per_second.peak.", Resource::Bytes),
     }
 }
 
-/// Single machines fail on an ordinary day: rest, or the loss of one where that was measured and is more.
-fn with_a_loss(rest: Needed, loss: Needed) -> Needed {
+/// The larger of idle traffic and, if measured, of the loss of one node: single machines fail on an ordinary day.
+fn max_of_idle_and_loss(rest: NeedResult, loss: NeedResult) -> NeedResult {
     match loss {
-        Ok(loss) => Ok(rest?.largest(loss)),
+        Ok(loss) => Ok(rest?.max(loss)),
         Err(_) => rest,
     }
 }
 
-/// Series of membership that were measured in a case of their own.
-fn by_case(context: &Context, prefix: &str, resource: Resource) -> Needed {
-    let of = |case: &str| context.largest(&format!("{prefix}{case}"), resource);
+/// The series of membership that was measured for the case.
+fn case_series(context: &Context, prefix: &str, resource: Resource) -> NeedResult {
+    let of = |case: &str| context.max(&format!("{prefix}{case}"), resource);
     match context.case {
-        Case::OrdinaryDay | Case::Peak => Err(Gap::NotApplicable),
+        Case::OrdinaryDay | Case::Peak => Err(Unavailable::NotApplicable),
         Case::RestartsAtOnce => of("restarts32"),
         Case::RackLost => of("rack"),
         Case::ZoneLost => of("zone"),
         Case::RegionCut => of("region_cut"),
         Case::RegionReturn => of("region_return"),
         Case::Release => of("release"),
-        Case::OtherTrouble => {
+        Case::OtherFailures => {
             let others = ["join", "split", "tenth_restarted", "seven_in_ten_killed"];
             let names = others.map(|case| format!("{prefix}{case}"));
-            context.largest_of(&names.each_ref().map(String::as_str), resource)
+            context.max_of_measured(&names.each_ref().map(String::as_str), resource)
         }
     }
 }
 
-/// What is lost without a farewell has to be noticed.
-fn seconds_to_know(context: &Context) -> Needed {
+/// Time until all nodes know of a loss; applies to nodes that depart without a leave message and must be detected.
+fn seconds_to_know(context: &Context) -> NeedResult {
     const NAME: &str = "membership.seconds_to_know.";
     match context.case {
-        Case::OrdinaryDay => context.largest(&format!("{NAME}kill"), Resource::Seconds),
-        Case::RackLost | Case::ZoneLost | Case::RegionCut => by_case(context, NAME, Resource::Seconds),
-        _ => Err(Gap::NotApplicable),
+        Case::OrdinaryDay => context.max(&format!("{NAME}kill"), Resource::Seconds),
+        Case::RackLost | Case::ZoneLost | Case::RegionCut => case_series(context, NAME, Resource::Seconds),
+        _ => Err(Unavailable::NotApplicable),
     }
 }
 
-/// While a region is cut off, views cannot agree.
-fn seconds_to_agree(context: &Context) -> Needed {
+/// Time until all views agree; views cannot agree during a partition.
+fn seconds_to_agree(context: &Context) -> NeedResult {
     match context.case {
-        Case::RegionCut => Err(Gap::NotApplicable),
-        _ => by_case(context, "membership.seconds_to_agree.", Resource::Seconds),
+        Case::RegionCut => Err(Unavailable::NotApplicable),
+        _ => case_series(context, "membership.seconds_to_agree.", Resource::Seconds),
     }
 }
 
-fn membership_cores(context: &Context) -> Needed {
+fn membership_cores(context: &Context) -> NeedResult {
     let of =
         |case: &str| context.mean(&format!("membership.processor_core_fraction.{case}"), Resource::Processor);
     match context.case {
@@ -291,48 +297,48 @@
         Case::RestartsAtOnce => of("restarts32"),
         Case::ZoneLost => of("zone"),
         Case::Release => of("release"),
-        Case::OtherTrouble => of("join"),
-        Case::RackLost | Case::RegionCut | Case::RegionReturn => Err(Gap::NotApplicable),
+        Case::OtherFailures => of("join"),
+        Case::RackLost | Case::RegionCut | Case::RegionReturn => Err(Unavailable::NotApplicable),
     }
 }
 
-fn membership_memory(context: &Context) -> Needed {
-    let each = context.largest("membership.memory_per_member", Resource::Memory)?;
-    Ok(each.times(context.plan.nodes))
+fn membership_memory(context: &Context) -> NeedResult {
+    let each = context.max("membership.memory_per_member", Resource::Memory)?;
+    Ok(each.scaled(context.plan.nodes))
 }
 
-fn dissemination_bytes(context: &Context) -> Needed {
-    context.largest("dissemination.bytes_per_second.peak", Resource::Bytes)
+fn dissemination_bytes(context: &Context) -> NeedResult {
+    context.max("dissemination.bytes_per_second.peak", Resource::Bytes)
 }
 
-/// Dissemination is measured with a membership at rest beside it, which is not to count twice.
-fn bytes_together(context: &Context) -> Needed {
+/// Dissemination is measured with idle membership traffic included, so that part is subtracted once.
+fn combined_bytes(context: &Context) -> NeedResult {
     let both = dissemination_bytes(context)?;
     match context.case {
         Case::OrdinaryDay | Case::Peak => Ok(both),
         _ => {
             let rest = context.mean("membership.bytes_per_second.rest", Resource::Bytes)?;
-            Ok(membership_bytes(context)?.plus(both).plus(rest.times(-1.0)))
+            Ok(membership_bytes(context)?.plus(both).plus(rest.scaled(-1.0)))
         }
     }
 }
 
-fn hollow_cores(context: &Context) -> Needed {
+fn hollow_cores(context: &Context) -> NeedResult {
     match context.case {
-        Case::OrdinaryDay => context.largest("hollow.processor_core_fraction", Resource::Processor),
-        Case::Peak => context.first_of(
+        Case::OrdinaryDay => context.max("hollow.processor_core_fraction", Resource::Processor),
+        Case::Peak => context.max_of_first_measured(
             &["hollow.processor_core_fraction.publish", "hollow.processor_core_fraction"],
             Resource::Processor,
         ),
-        _ => Err(Gap::NotApplicable),
+        _ => Err(Unavailable::NotApplicable),
     }
 }
 
-fn hollow_bytes(context: &Context) -> Needed {
-    let peak = |case: &str| context.largest(&format!("hollow.bytes_per_second.peak.{case}"), Resource::Bytes);
+fn hollow_bytes(context: &Context) -> NeedResult {
+    let peak = |case: &str| context.max(&format!("hollow.bytes_per_second.peak.{case}"), Resource::Bytes);
     match context.case {
-        Case::OrdinaryDay => with_a_loss(peak("rest"), peak("kill")),
-        Case::Peak => context.first_of(
+        Case::OrdinaryDay => max_of_idle_and_loss(peak("rest"), peak("kill")),
+        Case::Peak => context.max_of_first_measured(
             &["hollow.bytes_per_second.peak.publish", "hollow.bytes_per_second.peak.rest"],
             Resource::Bytes,
         ),
@@ -340,10 +346,10 @@
         Case::RackLost => peak("rack"),
         Case::ZoneLost => peak("zone"),
         Case::RegionCut => peak("region"),
-        Case::OtherTrouble => {
+        Case::OtherFailures => {
             let others = ["hollow.bytes_per_second.peak.join", "hollow.bytes_per_second.peak.kill"];
-            context.largest_of(&others, Resource::Bytes)
+            context.max_of_measured(&others, Resource::Bytes)
         }
-        Case::RegionReturn | Case::Release => Err(Gap::NotApplicable),
+        Case::RegionReturn | Case::Release => Err(Unavailable::NotApplicable),
     }
 }
--- a/lab/src/capacity/rows/mod.rs
+++ b/lab/src/capacity/rows/mod.rs
@@ -1,35 +1,35 @@
-//! The rows of the tables, by role. A row has its needs, each with a budget where the plan or the pages give one.
+//! The rows of the tables, by role. Each row has needs, with a budget where the plan or the documentation sets one.
 
 mod cache_server;
 mod control;
 mod operations;
 mod request_path;
 
-use super::{Context, Gap, Plan, Value};
+use super::{Context, Plan, Unavailable, Value};
 use crate::slopes::SlopesFile;
 use std::fmt;
 
-/// Who bears a need.
+/// The component or person that a row belongs to.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Role {
-    /// A node, on the way of requests.
+    /// The request path of a node.
     RequestPath,
-    /// A node, beside it.
+    /// The control functions of a node.
     Control,
     /// A cache server.
     CacheServer,
-    /// Discovery's agent on a node's machine.
+    /// The discovery agent on a node's machine.
     DiscoveryAgent,
     /// The origin.
     Origin,
-    /// A machine set aside for control.
+    /// A machine dedicated to control.
     ControlMachine,
-    /// Those who run the fleet.
+    /// The operators of the fleet.
     Operator,
 }
 
 impl Role {
-    /// All, in the order of the page.
+    /// All roles, in the order of the page.
     pub const ALL: [Self; 7] = [
         Self::RequestPath,
         Self::Control,
@@ -55,25 +55,25 @@
     }
 }
 
-/// What a need is a need of.
+/// The resource that a need consumes.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Resource {
-    /// Messages a second.
+    /// Messages per second.
     Messages,
-    /// Bytes a second.
+    /// Bytes per second.
     Bytes,
-    /// Cores.
+    /// Processor cores.
     Processor,
-    /// Bytes held.
+    /// Bytes of memory.
     Memory,
-    /// Connections open.
+    /// Open connections.
     Connections,
-    /// Time until something is done.
+    /// Seconds until an operation completes.
     Seconds,
 }
 
 impl Resource {
-    /// What a value in this unit is multiplied with; none where the unit is not one of the resource.
+    /// The factor that converts `unit` to the base unit of the resource; `None` if the unit does not apply to it.
     pub fn factor(self, unit: &str) -> Option<f64> {
         let factor = match (self, unit) {
             (Self::Bytes, "B/s" | "bytes/s") | (Self::Memory, "B" | "bytes") => 1.0,
@@ -104,122 +104,122 @@
     }
 }
 
-/// The most that may be needed, and who says so.
+/// An upper limit for a need.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    /// Who says so.
-    pub by: &'static str,
-    /// How much.
-    pub of: fn(&Plan) -> f64,
+    /// Where the limit comes from.
+    pub source: &'static str,
+    /// The limit under a plan.
+    pub limit: fn(&Plan) -> f64,
 }
 
-/// One need of a row.
+/// A need of a row.
 #[derive(Clone, Copy, Debug)]
 pub struct Need {
-    /// Of what.
+    /// The resource.
     pub resource: Resource,
-    /// What it is called beside the row's name; empty where the resource says it.
-    pub what: &'static str,
-    /// How much in a case.
-    pub of: fn(&Context) -> Result<Value, Gap>,
-    /// The most that it may be.
+    /// A qualifier shown with the row and the resource; empty if the resource alone is clear.
+    pub label: &'static str,
+    /// Computes the need in a case.
+    pub value: fn(&Context) -> Result<Value, Unavailable>,
+    /// The limit, if there is one.
     pub budget: Option<Budget>,
 }
 
-/// What carries a row's work.
+/// The code that implements a row.
 #[derive(Clone, Copy, Debug)]
 pub enum Mechanism {
-    /// These modules, with commas between them.
+    /// These modules, separated by commas.
     Modules(&'static str),
-    /// These modules, from the moment that a series shows them at work.
+    /// These modules, counted as present once a series of them has been measured.
     OnceMeasured {
-        /// What it is called while it is missing.
+        /// The description shown until then.
         name: &'static str,
-        /// The modules.
+        /// The modules, separated by commas.
         modules: &'static str,
-        /// The series.
+        /// The name prefix of the series.
         series: &'static str,
     },
-    /// Nothing: what is missing.
+    /// Not implemented; describes what is missing.
     Missing(&'static str),
 }
 
 impl Mechanism {
-    /// The modules, if there are any.
+    /// The modules, if the mechanism is present.
     pub fn modules(self, slopes: &SlopesFile) -> Option<&'static str> {
         match self {
             Self::Modules(modules) => Some(modules),
-            Self::OnceMeasured { modules, series, .. } => is_there(slopes, series).then_some(modules),
+            Self::OnceMeasured { modules, series, .. } => has_series(slopes, series).then_some(modules),
             Self::Missing(_) => None,
         }
     }
 
-    /// What is missing, if something is.
+    /// The description of the missing mechanism, if it is not present.
     pub fn missing(self, slopes: &SlopesFile) -> Option<&'static str> {
         match self {
             Self::Modules(_) => None,
-            Self::OnceMeasured { name, series, .. } if !is_there(slopes, series) => Some(name),
+            Self::OnceMeasured { name, series, .. } if !has_series(slopes, series) => Some(name),
             Self::OnceMeasured { .. } => None,
             Self::Missing(name) => Some(name),
         }
     }
 }
 
-/// Whether a series shows a mechanism at work, in whatever conditions.
-fn is_there(slopes: &SlopesFile, series: &str) -> bool {
+/// Whether a series with this name prefix was measured, under any network conditions.
+fn has_series(slopes: &SlopesFile, series: &str) -> bool {
     slopes.recorded().iter().any(|one| one.series.name.starts_with(series))
 }
 
-/// What carries entries to all nodes in their order, and tells who has them.
+/// Delivers entries to all nodes in order and reports which nodes have them.
 const DISSEMINATION: &str = "ordered dissemination to all nodes";
-/// A replicated log on the control machines.
+/// Replicated log on the control machines.
 const REPLICATED_LOG: &str = "a replicated log that survives the loss of a control machine";
-/// The way in for operators.
+/// Interface for operators to publish entries.
 const PUBLISH: &str = "a command that publishes and says who has not applied";
-/// Values that a node takes while it runs.
+/// Configuration values that a node applies without a restart.
 const LIVE_VALUES: &str = "values that change while the node runs";
-/// A purge, from a node to a cache server.
+/// Purge request from a node to a cache server.
 const SERVER_PURGE: &str = "a way to have a cache server drop an object (the protocol has none)";
-/// Releases.
+/// Staged releases with halt and rollback.
 const STAGED_RELEASES: &str = "releases in stages that halt and go back";
 
 /// A row of the tables.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// Who bears it.
+    /// The role it belongs to.
     pub role: Role,
-    /// What it is called.
+    /// The name shown in the tables.
     pub name: &'static str,
-    /// What is kept for it.
+    /// Describes the state that is kept.
     pub state: fn(&Plan) -> String,
-    /// What carries it.
+    /// The implementation.
     pub mechanism: Mechanism,
-    /// Mechanisms of other rows that have to be there first.
-    pub leans_on: &'static [&'static str],
-    /// Its needs.
+    /// Mechanisms of other rows that this row requires.
+    pub depends_on: &'static [&'static str],
+    /// The needs.
     pub needs: Vec<Need>,
 }
 
-/// Every row, by role.
+/// All rows.
 pub fn all_rows() -> Vec<Row> {
     [request_path::rows(), control::rows(), cache_server::rows(), operations::rows()].concat()
 }
 
-fn need(resource: Resource, of: fn(&Context) -> Result<Value, Gap>) -> Need {
-    Need { resource, what: "", of, budget: None }
+fn need(resource: Resource, value: fn(&Context) -> Result<Value, Unavailable>) -> Need {
+    Need { resource, label: "", value, budget: None }
 }
 
-fn within(
+fn need_with_budget(
     resource: Resource,
-    by: &'static str,
-    most: fn(&Plan) -> f64,
-    of: fn(&Context) -> Result<Value, Gap>,
+    source: &'static str,
+    limit: fn(&Plan) -> f64,
+    value: fn(&Context) -> Result<Value, Unavailable>,
 ) -> Need {
-    Need { budget: Some(Budget { by, of: most }), ..need(resource, of) }
+    Need { budget: Some(Budget { source, limit }), ..need(resource, value) }
 }
 
 impl Need {
-    fn called(self, what: &'static str) -> Self {
-        Self { what, ..self }
+    fn labelled(self, label: &'static str) -> Self {
+        Self { label, ..self }
     }
 }
--- a/lab/src/capacity/rows/operations.rs
+++ b/lab/src/capacity/rows/operations.rs
@@ -1,10 +1,10 @@
-//! What control machines and operators do.
+//! Rows of control machines and operators.
 
 use super::{
     need, Mechanism, Need, Resource, Role, Row, DISSEMINATION, PUBLISH, REPLICATED_LOG, STAGED_RELEASES,
 };
-use crate::capacity::figures::{count, number};
-use crate::capacity::{demand, Context, Gap, Plan, Value};
+use crate::capacity::figures::{format_count, format_number};
+use crate::capacity::{demand, Context, Plan, Unavailable, Value};
 
 const LOG_TIME: &str = "dissemination.seconds_to_all.log";
 
@@ -19,11 +19,11 @@
     mechanism: Mechanism,
     needs: Vec<Need>,
 ) -> Row {
-    Row { role, name, state, mechanism, leans_on: &[], needs }
+    Row { role, name, state, mechanism, depends_on: &[], needs }
 }
 
-fn entries_of(context: &Context) -> Result<Value, Gap> {
-    Ok(Value::plan(demand::entries_per_second(context.plan)))
+fn entries_of(context: &Context) -> Result<Value, Unavailable> {
+    Ok(Value::from_plan(demand::entries_per_second(context.plan)))
 }
 
 fn entries() -> Row {
@@ -31,20 +31,23 @@
         Role::ControlMachine,
         "entries, ordered and kept",
         |plan| {
-            let entries = demand::entry_bytes_per_day(plan) / plan.entry_largest_bytes;
-            let megabytes = demand::entry_bytes_per_day(plan) / 1e6;
+            let entries = demand::max_entry_bytes_per_day(plan) / plan.entry_largest_bytes;
+            let megabytes = demand::max_entry_bytes_per_day(plan) / 1e6;
             format!(
                 "{} entries a day, at most {} MB, on {} machines",
-                count(entries),
-                count(megabytes),
-                count(plan.control_machines)
+                format_count(entries),
+                format_count(megabytes),
+                format_count(plan.control_machines)
             )
         },
         Mechanism::Missing(REPLICATED_LOG),
         vec![
-            need(Resource::Messages, entries_of).called("entries"),
-            need(Resource::Bytes, |context| Ok(entries_of(context)?.times(context.plan.entry_largest_bytes)))
-                .called("entries, at the most"),
+            need(Resource::Messages, entries_of).labelled("entries"),
+            need(
+                Resource::Bytes,
+                |context| Ok(entries_of(context)?.scaled(context.plan.entry_largest_bytes)),
+            )
+            .labelled("entries, at the most"),
         ],
     )
 }
@@ -53,14 +56,14 @@
     row(
         Role::ControlMachine,
         "acknowledgements, should each node send its own",
-        |plan| format!("{} nodes, by name", count(plan.nodes)),
+        |plan| format!("{} nodes, by name", format_count(plan.nodes)),
         Mechanism::OnceMeasured {
             name: DISSEMINATION,
             modules: "src/peers/dissemination/",
             series: LOG_TIME,
         },
-        vec![need(Resource::Messages, |context| Ok(entries_of(context)?.times(context.plan.nodes)))
-            .called("acknowledgements")],
+        vec![need(Resource::Messages, |context| Ok(entries_of(context)?.scaled(context.plan.nodes)))
+            .labelled("acknowledgements")],
     )
 }
 
@@ -70,9 +73,9 @@
         "purges and changes, given in",
         |_| "none".to_owned(),
         Mechanism::Missing(PUBLISH),
-        vec![need(Resource::Messages, entries_of).called("entries")],
+        vec![need(Resource::Messages, entries_of).labelled("entries")],
     );
-    Row { leans_on: &[DISSEMINATION, REPLICATED_LOG], ..row }
+    Row { depends_on: &[DISSEMINATION, REPLICATED_LOG], ..row }
 }
 
 fn release() -> Row {
@@ -83,14 +86,14 @@
             let batches = (plan.nodes / plan.release_nodes_at_once.max(1.0)).ceil();
             format!(
                 "{} steps of {} nodes (assumed)",
-                count(batches),
-                number(plan.release_nodes_at_once.max(1.0))
+                format_count(batches),
+                format_number(plan.release_nodes_at_once.max(1.0))
             )
         },
         Mechanism::Missing(STAGED_RELEASES),
         Vec::new(),
     );
-    Row { leans_on: &[DISSEMINATION], ..row }
+    Row { depends_on: &[DISSEMINATION], ..row }
 }
 
 fn failed_machines() -> Row {
@@ -100,16 +103,16 @@
         |plan| {
             format!(
                 "{} fail on an ordinary day, {} restarts or replacements",
-                count(plan.machines_per_day),
-                count(plan.restarts_at_once)
+                format_count(plan.machines_per_day),
+                format_count(plan.restarts_at_once)
             )
         },
         Mechanism::Modules("src/peers/"),
         vec![need(Resource::Seconds, |context| {
             let kill = ["hollow.seconds_to_know.kill", "membership.seconds_to_know.kill"];
-            context.first_of(&kill, Resource::Seconds)
+            context.max_of_first_measured(&kill, Resource::Seconds)
         })
-        .called("until all know of one")],
+        .labelled("until all know of one")],
     )
 }
 
@@ -117,12 +120,14 @@
     row(
         Role::Operator,
         "a look at all nodes",
-        |plan| format!("{} members and their views", count(plan.nodes)),
+        |plan| format!("{} members and their views", format_count(plan.nodes)),
         Mechanism::Modules("src/members.rs"),
         vec![need(Resource::Seconds, |context| {
-            context
-                .first_of(&["membership.seconds_to_agree.join", "hollow.seconds_to_meet"], Resource::Seconds)
+            context.max_of_first_measured(
+                &["membership.seconds_to_agree.join", "hollow.seconds_to_meet"],
+                Resource::Seconds,
+            )
         })
-        .called("until a view is whole")],
+        .labelled("until a view is whole")],
     )
 }
--- a/lab/src/capacity/rows/request_path.rs
+++ b/lab/src/capacity/rows/request_path.rs
@@ -1,19 +1,29 @@
-//! A node's request path.
+//! Rows of the request path of a node.
 
-use super::{need, within, Mechanism, Need, Resource, Role, Row};
-use crate::capacity::figures::{count, number};
-use crate::capacity::values::Needed;
-use crate::capacity::{demand, Case, Context, Gap, Plan, Value};
+use super::{need, need_with_budget, Mechanism, Need, Resource, Role, Row};
+use crate::capacity::figures::{format_count, format_number};
+use crate::capacity::values::NeedResult;
+use crate::capacity::{demand, Case, Context, Plan, Unavailable, Value};
 
 const CORE: &str = "the core, less control's part";
 const MEMORY: &str = "the smallest node";
-/// Names under which the cost of a request may have been measured.
+/// Series of the cost of a request; the first one measured is used.
 const REQUEST_COST: [&str; 2] =
     ["request.processor_seconds_per_request.rate", "request.processor_seconds_per_request"];
+/// Series of the cost of a refusal; the first one measured is used.
 const REFUSAL_COST: [&str; 2] = ["refusal.processor_seconds.rate", "refusal.processor_seconds"];
 
 pub(super) fn rows() -> Vec<Row> {
-    vec![requests(), hot_node(), decisions(), refusals(), to_servers(), to_clients(), shut_failing(), log()]
+    vec![
+        requests(),
+        hot_node(),
+        decisions(),
+        refusals(),
+        to_servers(),
+        to_clients(),
+        time_to_open_breaker(),
+        log(),
+    ]
 }
 
 fn row(name: &'static str, state: fn(&Plan) -> String, mechanism: &'static str, needs: Vec<Need>) -> Row {
@@ -22,7 +32,7 @@
         name,
         state,
         mechanism: Mechanism::Modules(mechanism),
-        leans_on: &[],
+        depends_on: &[],
         needs,
     }
 }
@@ -32,33 +42,33 @@
         "requests, an even part",
         |plan| {
             let pair = demand::requests_per_pair(plan, Case::Peak);
-            let cold = number(pair * plan.cold_node_share);
+            let cold = format_number(pair * plan.cold_node_share);
             format!(
                 "{} requests open; {} a second to each server, {cold} from a cold node",
-                count(demand::in_flight_per_node(plan, Case::Peak)),
-                number(pair)
+                format_count(demand::in_flight_per_node(plan, Case::Peak)),
+                format_number(pair)
             )
         },
         "src/net/server.rs, src/net/driver.rs, src/net/upstream.rs",
         vec![
-            need(Resource::Messages, |context| Ok(Value::plan(rate(context)))).called("requests"),
+            need(Resource::Messages, |context| Ok(Value::from_plan(rate(context)))).labelled("requests"),
             need(Resource::Bytes, |context| {
-                Ok(Value::plan(rate(context) * demand::answer_bytes(context.plan)))
+                Ok(Value::from_plan(rate(context) * demand::answer_bytes(context.plan)))
             })
-            .called("answers within the protocol"),
+            .labelled("answers within the protocol"),
             need(Resource::Bytes, |context| {
-                Ok(Value::plan(rate(context) * demand::planned_answer_bytes(context.plan)))
+                Ok(Value::from_plan(rate(context) * demand::planned_answer_bytes(context.plan)))
             })
-            .called("answers as planned"),
-            within(Resource::Processor, CORE, demand::request_core_budget, |context| {
+            .labelled("answers as planned"),
+            need_with_budget(Resource::Processor, CORE, demand::request_core_budget, |context| {
                 request_cores(context, rate(context))
             }),
-            within(Resource::Processor, CORE, demand::request_core_budget, |context| {
+            need_with_budget(Resource::Processor, CORE, demand::request_core_budget, |context| {
                 let cost = context.mean("request.processor_seconds_by_answer_bytes", Resource::Seconds)?;
-                Ok(cost.times(rate(context)))
+                Ok(cost.scaled(rate(context)))
             })
-            .called("with the largest answers"),
-            within(Resource::Memory, MEMORY, demand::node_memory_budget, request_memory),
+            .labelled("with the largest answers"),
+            need_with_budget(Resource::Memory, MEMORY, demand::node_memory_budget, request_memory),
         ],
     )
 }
@@ -66,11 +76,11 @@
 fn hot_node() -> Row {
     row(
         "requests, the busiest node",
-        |plan| format!("{} times the mean (assumed)", number(plan.hot_node_multiple)),
+        |plan| format!("{} times the mean (assumed)", format_number(plan.hot_node_multiple)),
         "src/net/server.rs, src/net/driver.rs, src/net/upstream.rs",
         vec![
-            need(Resource::Messages, |context| Ok(Value::plan(hot_rate(context)))).called("requests"),
-            within(Resource::Processor, CORE, demand::request_core_budget, |context| {
+            need(Resource::Messages, |context| Ok(Value::from_plan(hot_rate(context)))).labelled("requests"),
+            need_with_budget(Resource::Processor, CORE, demand::request_core_budget, |context| {
                 request_cores(context, hot_rate(context))
             }),
         ],
@@ -83,16 +93,16 @@
         |plan| {
             format!(
                 "{} servers in {} zones, popular keys up to a bound",
-                count(plan.servers),
-                count(plan.zones)
+                format_count(plan.servers),
+                format_count(plan.zones)
             )
         },
         "src/policy/",
         vec![
-            within(Resource::Processor, CORE, demand::request_core_budget, |context| {
+            need_with_budget(Resource::Processor, CORE, demand::request_core_budget, |context| {
                 decision_cores(context, "decision.microseconds.servers")
             }),
-            within(Resource::Memory, MEMORY, demand::node_memory_budget, |context| {
+            need_with_budget(Resource::Memory, MEMORY, demand::node_memory_budget, |context| {
                 context.mean("decision.memory.servers", Resource::Memory)
             }),
         ],
@@ -105,10 +115,10 @@
         |_| "none".to_owned(),
         "src/policy/admission.rs, src/net/server.rs",
         vec![
-            need(Resource::Messages, |context| Ok(Value::plan(rate(context)))).called("refusals"),
-            within(Resource::Processor, CORE, demand::request_core_budget, |context| {
+            need(Resource::Messages, |context| Ok(Value::from_plan(rate(context)))).labelled("refusals"),
+            need_with_budget(Resource::Processor, CORE, demand::request_core_budget, |context| {
                 let cost = cost_at(context, &REFUSAL_COST, rate(context))?;
-                Ok(cost.times(rate(context)))
+                Ok(cost.scaled(rate(context)))
             }),
         ],
     )
@@ -118,16 +128,16 @@
     row(
         "connections to cache servers, at the least",
         |plan| {
-            let all = count(demand::connections_at_least(plan));
-            let most = count(demand::server_connections(plan.node_descriptors_most));
+            let all = format_count(demand::node_server_pairs(plan));
+            let most = format_count(demand::max_server_connections(plan.node_descriptors_most));
             format!("{all} from all nodes together; the largest node may hold {most}")
         },
         "src/net/upstream.rs",
-        vec![within(
+        vec![need_with_budget(
             Resource::Connections,
             "half of the smallest node's descriptors",
             demand::server_connections_budget,
-            |context| Ok(Value::plan(demand::connections_to_servers(context.plan, context.case))),
+            |context| Ok(Value::from_plan(demand::min_connections_to_servers(context.plan, context.case))),
         )],
     )
 }
@@ -135,32 +145,28 @@
 fn to_clients() -> Row {
     row(
         "clients' connections with a request",
-        |plan| format!("answers take {} s in the mean (assumed)", number(plan.answer_seconds)),
+        |plan| format!("answers take {} s in the mean (assumed)", format_number(plan.answer_seconds)),
         "src/net/server.rs",
-        vec![within(
+        vec![need_with_budget(
             Resource::Connections,
             "a third of the smallest node's descriptors",
             demand::client_connections_budget,
-            |context| Ok(Value::plan(demand::in_flight_per_node(context.plan, context.case))),
+            |context| Ok(Value::from_plan(demand::in_flight_per_node(context.plan, context.case))),
         )
-        .called("at the assumed time")],
+        .labelled("at the assumed time")],
     )
 }
 
-fn shut_failing() -> Row {
+fn time_to_open_breaker() -> Row {
     row(
         "time until a failing server is shut",
-        |plan| format!("a breaker for each of {} servers", count(plan.servers)),
+        |plan| format!("a breaker for each of {} servers", format_count(plan.servers)),
         "src/policy/breaker.rs",
         vec![
-            need(Resource::Seconds, |context| {
-                context.largest("trials.seconds_to_shut.hot", Resource::Seconds)
-            })
-            .called("at a hot node"),
-            need(Resource::Seconds, |context| {
-                context.largest("trials.seconds_to_shut.cold", Resource::Seconds)
-            })
-            .called("at a cold node"),
+            need(Resource::Seconds, |context| context.max("trials.seconds_to_shut.hot", Resource::Seconds))
+                .labelled("at a hot node"),
+            need(Resource::Seconds, |context| context.max("trials.seconds_to_shut.cold", Resource::Seconds))
+                .labelled("at a cold node"),
         ],
     )
 }
@@ -172,19 +178,20 @@
         "src/log.rs",
         vec![need(Resource::Bytes, |context| match context.case {
             Case::OrdinaryDay | Case::Peak => {
-                context.first_of(&["log.bytes_per_second.calm"], Resource::Bytes)
+                context.max_of_first_measured(&["log.bytes_per_second.calm"], Resource::Bytes)
             }
-            Case::ZoneLost => log_in_a_loss(context),
-            _ => Err(Gap::NotApplicable),
+            Case::ZoneLost => log_during_zone_loss(context),
+            _ => Err(Unavailable::NotApplicable),
         })],
     )
 }
 
-/// A zone's servers are lost and its nodes with them: the largest second of both, where both were measured.
-fn log_in_a_loss(context: &Context) -> Needed {
+/// A zone fails with its servers and nodes: the sum of the peak log rates of both losses, or that of the servers alone if
+/// the loss of peers was not measured.
+fn log_during_zone_loss(context: &Context) -> NeedResult {
     let largest = |what: &str| {
         let name = format!("log.bytes_per_second.{what}");
-        context.first_of(&[&format!("{name}.largest"), &name], Resource::Bytes)
+        context.max_of_first_measured(&[&format!("{name}.largest"), &name], Resource::Bytes)
     };
     let servers = largest("zone_lost")?;
     match largest("peers_lost") {
@@ -201,27 +208,28 @@
     rate(context) * context.plan.hot_node_multiple
 }
 
-/// Seconds of the core for one message at this rate, by the first of the names that was measured.
-fn cost_at(context: &Context, names: &[&str], rate: f64) -> Needed {
+/// Processor seconds per message at this rate, from the first of these series that was measured.
+fn cost_at(context: &Context, names: &[&str], rate: f64) -> NeedResult {
     let known = names.iter().find(|name| context.is_measured(name));
     let name = known.or(names.last()).copied().unwrap_or_default();
-    context.at_rate(name, Resource::Seconds, rate)
+    context.mean_at_rate(name, Resource::Seconds, rate)
 }
 
-fn request_cores(context: &Context, rate: f64) -> Needed {
-    Ok(cost_at(context, &REQUEST_COST, rate)?.times(rate))
+fn request_cores(context: &Context, rate: f64) -> NeedResult {
+    Ok(cost_at(context, &REQUEST_COST, rate)?.scaled(rate))
 }
 
-fn request_memory(context: &Context) -> Needed {
+fn request_memory(context: &Context) -> NeedResult {
     let open = demand::in_flight_per_node(context.plan, context.case);
-    // A request in flight has its server's connection with it: what is left are its client's and those that rest.
-    let resting = (demand::connections_to_servers(context.plan, context.case) - open).max(0.0);
-    let connections = open + resting;
+    // The memory per request in flight includes its connection to the server; the client connection and idle
+    // connections to servers are added.
+    let idle = (demand::min_connections_to_servers(context.plan, context.case) - open).max(0.0);
+    let connections = open + idle;
     let per_request = context.mean("request.memory_per_in_flight", Resource::Memory)?;
     let per_connection = context.mean("request.memory_per_connection", Resource::Memory)?;
-    Ok(per_request.times(open).plus(per_connection.times(connections)))
+    Ok(per_request.scaled(open).plus(per_connection.scaled(connections)))
 }
 
-fn decision_cores(context: &Context, name: &str) -> Needed {
-    Ok(context.mean(name, Resource::Seconds)?.times(rate(context)))
+fn decision_cores(context: &Context, name: &str) -> NeedResult {
+    Ok(context.mean(name, Resource::Seconds)?.scaled(rate(context)))
 }
--- a/lab/src/commands/capacity.rs
+++ b/lab/src/commands/capacity.rs
@@ -1,4 +1,4 @@
-//! `walkpick-lab capacity`: the tables of a plan, and the page that holds them.
+//! `walkpick-lab capacity`: renders the capacity tables of a plan, and checks or updates the page that contains them.
 
 use crate::capacity::{check, plot, render, write, Plan, Sources};
 use crate::slopes::SlopesFile;
@@ -7,26 +7,26 @@
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// The arguments.
+/// Arguments of `walkpick-lab capacity`.
 #[derive(Debug, Args)]
 pub struct CapacityArgs {
-    /// The plan
+    /// Plan file
     plan: PathBuf,
-    /// The slopes file
+    /// Slopes file
     #[arg(long, default_value = "docs/slopes.json")]
     slopes: PathBuf,
-    /// Tell in which lines this page and the figures differ; 1 where they do
+    /// List the lines in which this page differs from the rendered tables; exit with status 1 if any do
     #[arg(long, value_name = "PAGE", conflicts_with = "write")]
     check: Option<PathBuf>,
-    /// Renew the tables of this page
+    /// Update the tables of this page
     #[arg(long, value_name = "PAGE")]
     write: Option<PathBuf>,
-    /// Draw need over budget by nodes
+    /// Write a plot of need over budget by number of nodes
     #[arg(long, value_name = "SVG")]
     plot: Option<PathBuf>,
 }
 
-/// Carries out the command.
+/// Runs the command; returns whether the page, if checked, is up to date.
 pub fn run(args: &CapacityArgs) -> Result<bool, Box<dyn Error>> {
     let plan = Plan::load(&args.plan)?;
     let slopes = SlopesFile::load(&args.slopes)?;
--- a/lab/src/commands/scale.rs
+++ b/lab/src/commands/scale.rs
@@ -1,4 +1,4 @@
-//! `walkpick-lab run`, `list` and `explain` where the file is an experiment of scale.
+//! `walkpick-lab run`, `list` and `explain` for scale experiments.
 
 use crate::scale::{CheckOutcome, RunOptions, ScaleExperiment, ScaleRun};
 use serde::Serialize;
@@ -6,9 +6,9 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-/// What `--json` writes.
+/// The output of `--json`.
 #[derive(Serialize)]
-struct Written<'a> {
+struct JsonReport<'a> {
     name: &'a str,
     kind: &'a str,
     settings: toml::Value,
@@ -16,7 +16,7 @@
     checks: &'a [CheckOutcome],
 }
 
-/// Runs an experiment, prints its figures and checks, and says whether all of them held.
+/// Runs an experiment and prints its figures and checks; returns whether all checks passed and no run was void.
 pub fn run(
     experiment: &ScaleExperiment,
     options: &RunOptions,
@@ -24,10 +24,10 @@
 ) -> Result<bool, Box<dyn Error>> {
     let (runs, checks) = experiment.run(options)?;
     if let Some(path) = json {
-        let settings = experiment.does.settings()?;
+        let settings = experiment.runner.settings()?;
         let (name, kind) = (&experiment.name, experiment.kind.table);
-        let written = Written { name, kind, settings, runs: &runs, checks: &checks };
-        std::fs::write(path, serde_json::to_vec_pretty(&written)?)?;
+        let report = JsonReport { name, kind, settings, runs: &runs, checks: &checks };
+        std::fs::write(path, serde_json::to_vec_pretty(&report)?)?;
     }
     print_figures(experiment, &runs)?;
     print_checks(&checks)?;
@@ -36,7 +36,7 @@
         && runs.iter().all(|run| run.void.is_none()))
 }
 
-/// The figures that are checked, one line for each run.
+/// Prints the checked figures, one line per run.
 fn print_figures(experiment: &ScaleExperiment, runs: &[ScaleRun]) -> io::Result<()> {
     let mut names: Vec<&str> = experiment.checks.iter().map(|check| check.figure.as_str()).collect();
     names.sort_unstable();
@@ -67,11 +67,11 @@
     Ok(())
 }
 
-/// Prints what it does, with every value that the file leaves out, and what each figure means.
+/// Prints the experiment with all settings, including defaults, its checks and the description of each figure.
 pub fn explain(experiment: &ScaleExperiment) -> Result<(), Box<dyn Error>> {
     let mut out = io::stdout().lock();
     writeln!(out, "{}: {}\n", experiment.name, experiment.about)?;
-    let settings = experiment.does.settings()?;
+    let settings = experiment.runner.settings()?;
     writeln!(out, "[{}]\n{}", experiment.kind.table, toml::to_string_pretty(&settings)?)?;
     for check in &experiment.checks {
         writeln!(out, "[[check]]\n{}", toml::to_string_pretty(check)?)?;
--- a/lab/src/commands/slopes.rs
+++ b/lab/src/commands/slopes.rs
@@ -1,6 +1,6 @@
-//! `walkpick-lab slopes`: takes measured series into the slopes file, and shows what it holds.
+//! `walkpick-lab slopes`: adds measured series to the slopes file and shows its content.
 
-use crate::capacity::{encoded_sizes, number};
+use crate::capacity::{encoded_sizes, format_number};
 use crate::slopes::{read_series, write_series, Recorded, SlopesError, SlopesFile, Stamp};
 use clap::{Args, Subcommand};
 use std::error::Error;
@@ -9,52 +9,52 @@
 use std::process::Command;
 use std::time::SystemTime;
 
-/// What moves measured costs: a change here that is not committed is said beside the commit.
+/// Paths that affect measured costs; uncommitted changes to them are noted next to the recorded commit.
 const SOURCES: [&str; 4] = ["src", "lab/src", "Cargo.toml", "Cargo.lock"];
 const ENCODED: &str = "walkpick-lab slopes encoded --json encoded.json";
 const UNKNOWN_COMMIT: &str = "unknown";
 
-/// The arguments.
+/// Arguments of `walkpick-lab slopes`.
 #[derive(Debug, Args)]
 pub struct SlopesArgs {
     #[command(subcommand)]
-    doing: Doing,
+    action: Action,
 }
 
 #[derive(Debug, Subcommand)]
-enum Doing {
-    /// Take in the series of files that measuring tools wrote; those of the same name and method give way
+enum Action {
+    /// Add series from files written by measuring tools; replaces those with the same name and method
     Add {
-        /// The slopes file; it is made where there is none
+        /// Slopes file; created if it does not exist
         #[arg(long, default_value = "docs/slopes.json")]
         to: PathBuf,
-        /// The commit that was measured; the one of the working tree where it is not given
+        /// Commit that was measured; defaults to that of the working tree
         #[arg(long)]
         commit: Option<String>,
-        /// What the tools wrote
+        /// Series files to add
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Measure how many bytes nodes' messages take, by encoding them
+    /// Measure the size of messages between nodes by encoding them
     Encoded {
-        /// Where to write the series
+        /// Output file for the series
         #[arg(long)]
         json: PathBuf,
     },
     /// Show each series with its fit
     Show {
-        /// The slopes file
+        /// Slopes file
         #[arg(default_value = "docs/slopes.json")]
         file: PathBuf,
     },
 }
 
-/// Carries out the command.
+/// Runs the command.
 pub fn run(args: &SlopesArgs) -> Result<bool, Box<dyn Error>> {
-    match &args.doing {
-        Doing::Add { to, commit, files } => add(to, commit.as_deref(), files)?,
-        Doing::Encoded { json } => write_series(json, &encoded_sizes(ENCODED)?)?,
-        Doing::Show { file } => show(&SlopesFile::load(file)?)?,
+    match &args.action {
+        Action::Add { to, commit, files } => add(to, commit.as_deref(), files)?,
+        Action::Encoded { json } => write_series(json, &encoded_sizes(ENCODED)?)?,
+        Action::Show { file } => show(&SlopesFile::load(file)?)?,
     }
     Ok(true)
 }
@@ -70,7 +70,7 @@
     let commit = commit.map_or_else(current_commit, str::to_owned);
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     for (file, series) in read.into_iter().flatten() {
-        let stamp = Stamp { date: written_at(file)?, commit: commit.clone(), cores };
+        let stamp = Stamp { date: modification_time(file)?, commit: commit.clone(), cores };
         let recorded = series.into_iter().filter_map(|series| Recorded::new(series, stamp.clone()));
         recorded.for_each(|recorded| slopes.add(recorded));
     }
@@ -78,13 +78,13 @@
     Ok(())
 }
 
-/// Faults of one or several files, one a line.
+/// Errors of one or more series files, one per line.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct SeriesFaults(String);
 
-/// When the tool wrote its file: when it was measured.
-fn written_at(file: &Path) -> Result<String, SlopesError> {
+/// The modification time of a series file, taken as the time of the measurement.
+fn modification_time(file: &Path) -> Result<String, SlopesError> {
     let at = std::fs::metadata(file).and_then(|about| about.modified());
     let at = at.map_err(|error| SlopesError::Unreadable { path: file.to_owned(), error })?;
     Ok(humantime::format_rfc3339_seconds(at.max(SystemTime::UNIX_EPOCH)).to_string())
@@ -116,17 +116,17 @@
             "  {} on {}, {} cores, commit {}",
             series.command, stamp.date, stamp.cores, stamp.commit
         )?;
-        writeln!(out, "  {}", fit.formula(number))?;
+        writeln!(out, "  {}", fit.formula(format_number))?;
         writeln!(
             out,
             "  residual {} ({:.1}%), R squared {:.3}; {} plays at {} sizes, {} to {}",
-            number(fit.residual),
+            format_number(fit.residual),
             100.0 * fit.relative_residual,
             fit.r_squared,
             fit.plays,
             fit.sizes,
-            number(fit.from),
-            number(fit.to)
+            format_number(fit.from),
+            format_number(fit.to)
         )?;
     }
     Ok(())
--- a/lab/src/hollow/experiment.rs
+++ b/lab/src/hollow/experiment.rs
@@ -33,7 +33,7 @@
 
     /// Reads its values from a table; what is wrong is told to the reader.
     fn read(reader: &mut TableReader) -> Self {
-        reader.only(&[&KEYS[..], &TABLES].concat());
+        reader.check_keys(&[&KEYS[..], &TABLES].concat());
         let standard = Self::default();
         let numbers = "a list of numbers";
         let map = Map {
@@ -65,7 +65,7 @@
     for wrong in hollow.faults() {
         reader.fault(&wrong.key, &wrong.found, &wrong.expected);
     }
-    reader.is_good().then(|| Box::new(hollow) as Box<dyn ScaleKind>)
+    reader.is_valid().then(|| Box::new(hollow) as Box<dyn ScaleKind>)
 }
 
 fn read_publish(reader: &mut TableReader) -> Option<Publish> {
--- a/lab/src/hollow/experiment/tests.rs
+++ b/lab/src/hollow/experiment/tests.rs
@@ -14,11 +14,11 @@
 fn a_file_has_a_default_for_all_that_it_does_not_say() {
     let text = format!("{HEAD}[hollow]\nnodes = [66]\n[[hollow.fault]]\nwhat = \"zone\"\n");
     let experiment = ScaleExperiment::parse(&text).unwrap().unwrap();
-    let settings = experiment.does.settings().unwrap();
+    let settings = experiment.runner.settings().unwrap();
     assert_eq!(settings["nodes"].to_string(), "[66]");
     assert_eq!(settings["processes"].as_integer(), Some(16));
     assert_eq!(settings["fault"][0]["lasts"].as_str(), Some("12s"));
-    assert_eq!(experiment.does.groups(), ["loss-0-percent"]);
+    assert_eq!(experiment.runner.groups(), ["loss-0-percent"]);
 }
 
 #[test]
--- a/lab/src/scale/check.rs
+++ b/lab/src/scale/check.rs
@@ -1,40 +1,40 @@
-//! Checks: a figure within bounds in every run, or its spread over all of them.
+//! Checks on figures: bounds for every run, or a limit on the spread over all runs.
 
 use super::{FigureMeaning, ScaleRun, TableReader};
 use crate::experiment::Fault;
 use serde::Serialize;
 
-/// What has to hold.
+/// A condition on a figure of the runs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ScaleCheck {
-    /// What it is called.
+    /// The name of the check.
     pub name: String,
-    /// The figure.
+    /// The name of the figure.
     pub figure: String,
-    /// The group of runs that it is about; all where it is missing.
+    /// The group of runs that the check covers; all runs if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub group: Option<String>,
-    /// In every run it is no less than this.
+    /// Lower bound for every run.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub at_least: Option<f64>,
-    /// In every run it is no more than this.
+    /// Upper bound for every run.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub at_most: Option<f64>,
-    /// The largest over the smallest of all runs is no more than this.
+    /// Upper bound for the ratio of the largest to the smallest value over all runs.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub spread_at_most: Option<f64>,
 }
 
-/// Whether a check held, in words as well.
+/// The result of a check, with a description.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct CheckOutcome {
-    /// The check's name.
+    /// The name of the check.
     pub name: String,
-    /// What it was held against.
+    /// The runs that were checked.
     pub of: String,
-    /// What was found and what was expected.
+    /// The value found and the value expected.
     pub found: String,
-    /// Whether it held.
+    /// Whether the check passed.
     pub holds: bool,
 }
 
@@ -45,15 +45,15 @@
 const KEYS: [&str; 6] = ["name", "figure", "group", "at_least", "at_most", "spread_at_most"];
 
 impl ScaleCheck {
-    /// Reads one `[[check]]`.
+    /// Reads one `[[check]]` table.
     ///
-    /// `groups`: those that there are; none where nobody can tell, as the kind's own table has faults.
+    /// `groups` are the valid groups; `None` if they are unknown because the table of the kind has errors.
     pub fn read(
         mut reader: TableReader,
         figures: &[FigureMeaning],
         groups: Option<&[String]>,
     ) -> Option<Self> {
-        reader.only(&KEYS);
+        reader.check_keys(&KEYS);
         let check = Self {
             name: reader.required("name", "a text").unwrap_or_default(),
             figure: reader.required("figure", "the name of a figure").unwrap_or_default(),
@@ -74,10 +74,10 @@
         if check.at_least.or(check.at_most).or(check.spread_at_most).is_none() {
             reader.fault("bound", "none", "at_least, at_most or spread_at_most");
         }
-        reader.is_good().then_some(check)
+        reader.is_valid().then_some(check)
     }
 
-    /// Holds it against runs. A figure that was not reached breaks its check; a void run is no ground to judge on.
+    /// Evaluates the check on runs. A figure that was not reached fails the check; void runs are ignored.
     pub fn judge(&self, runs: &[ScaleRun]) -> Vec<CheckOutcome> {
         let mine: Vec<_> = runs.iter().filter(|run| self.covers(run)).collect();
         let mut outcomes: Vec<_> = mine.iter().filter_map(|run| self.judge_run(run)).collect();
@@ -129,10 +129,10 @@
     }
 }
 
-/// A name that more than one check has: outcomes could not be told apart.
-pub(super) fn double_names(checks: &[toml::Value]) -> Vec<Fault> {
+/// Reports names used by more than one check, as their outcomes would be indistinguishable.
+pub(super) fn duplicate_names(checks: &[toml::Value]) -> Vec<Fault> {
     let names: Vec<_> = checks.iter().map(|check| check.get("name").and_then(toml::Value::as_str)).collect();
-    let is_double = |place: usize| names[place].is_some() && names[..place].contains(&names[place]);
+    let is_duplicate = |place: usize| names[place].is_some() && names[..place].contains(&names[place]);
     let fault = |place: usize| Fault {
         place: format!("check {}: name", place + 1),
         what: format!(
@@ -140,5 +140,5 @@
             names[place].unwrap_or_default()
         ),
     };
-    (0..names.len()).filter(|place| is_double(*place)).map(fault).collect()
+    (0..names.len()).filter(|place| is_duplicate(*place)).map(fault).collect()
 }
--- a/lab/src/scale/dissemination.rs
+++ b/lab/src/scale/dissemination.rs
@@ -1,4 +1,5 @@
-//! The kind `[dissemination]`: a steady load of entries and states in simulated time, at several sizes.
+//! Experiments of kind `[dissemination]`: a constant load of log entries and state changes in simulated time, at several
+//! fleet sizes.
 
 use super::{FigureMeaning, Kind, RunOptions, ScaleKind, ScaleRun, TableReader};
 use crate::dissemination::figures::{run_all, Membership, FIGURES};
@@ -7,25 +8,25 @@
 use serde::Serialize;
 use std::error::Error;
 
-/// All combinations of these are played.
+/// Settings of the experiment; all combinations of `nodes` and `loss` are run.
 #[derive(Clone, Debug, Serialize)]
 pub struct DisseminationExperiment {
-    /// Numbers of nodes.
+    /// Fleet sizes, in nodes.
     pub nodes: Vec<usize>,
-    /// Parts of the datagrams that are lost.
+    /// Datagram loss rates, from 0 to 1.
     pub loss: Vec<f64>,
-    /// Entries of the log a second.
+    /// Log entries published per second.
     pub entries_per_second: u64,
-    /// Bytes of each entry's payload.
+    /// Payload size of each entry.
     pub entry_bytes: usize,
-    /// For so many seconds.
+    /// Duration of the load.
     pub seconds: u64,
-    /// A change of state every so many seconds; none at 0.
+    /// Interval between state changes; 0 disables them.
     pub state_every_s: u64,
-    /// A zone is lost after so many seconds.
+    /// Time at which a zone fails, if one does.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone_lost_after_s: Option<u64>,
-    /// What tells nodes who is present.
+    /// The membership implementation that nodes use.
     pub membership: Membership,
 }
 
@@ -41,11 +42,11 @@
 ];
 
 impl DisseminationExperiment {
-    /// The kind `[dissemination]`.
+    /// The kind of files with a table `[dissemination]`.
     pub const KIND: Kind = Kind { table: "dissemination", read: Self::read, figures };
 
     fn read(mut reader: TableReader) -> Option<Box<dyn ScaleKind>> {
-        reader.only(&KEYS);
+        reader.check_keys(&KEYS);
         let planned = Load::planned(2, 0.0, 0);
         let whole = "a whole number";
         let read = Self {
@@ -61,15 +62,15 @@
             membership: reader.optional("membership", "one of real, stand-in").unwrap_or_default(),
         };
         for nodes in &read.nodes {
-            reader.within("nodes", *nodes as f64, 2.0, 20_000.0);
+            reader.check_range("nodes", *nodes as f64, 2.0, 20_000.0);
         }
         for loss in &read.loss {
-            reader.within("loss", *loss, 0.0, 0.9);
+            reader.check_range("loss", *loss, 0.0, 0.9);
         }
-        reader.within("entries_per_second", read.entries_per_second as f64, 1.0, 1_000.0);
-        reader.within("entry_bytes", read.entry_bytes as f64, 16.0, 1_024.0);
-        reader.within("seconds", read.seconds as f64, 1.0, 3_600.0);
-        reader.is_good().then(|| Box::new(read) as Box<dyn ScaleKind>)
+        reader.check_range("entries_per_second", read.entries_per_second as f64, 1.0, 1_000.0);
+        reader.check_range("entry_bytes", read.entry_bytes as f64, 16.0, 1_024.0);
+        reader.check_range("seconds", read.seconds as f64, 1.0, 3_600.0);
+        reader.is_valid().then(|| Box::new(read) as Box<dyn ScaleKind>)
     }
 
     fn loads(&self, options: &RunOptions) -> Vec<Load> {
--- a/lab/src/scale/experiment.rs
+++ b/lab/src/scale/experiment.rs
@@ -1,6 +1,6 @@
-//! One file: its name, what it shows, its kind and its checks.
+//! A scale experiment file: name, description, settings of its kind and checks.
 
-use super::check::double_names;
+use super::check::duplicate_names;
 use super::{
     CheckOutcome, FigureMeaning, Kind, RunOptions, ScaleCheck, ScaleKind, ScaleRun, TableReader, KINDS,
 };
@@ -9,31 +9,31 @@
 use std::path::Path;
 use toml::{Table, Value};
 
-/// An experiment of scale.
+/// A scale experiment.
 pub struct ScaleExperiment {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// What it shows.
+    /// The description.
     pub about: String,
-    /// Its kind.
+    /// The kind.
     pub kind: &'static Kind,
-    /// What it does.
-    pub does: Box<dyn ScaleKind>,
-    /// What has to hold.
+    /// The configured experiment.
+    pub runner: Box<dyn ScaleKind>,
+    /// The conditions on its figures.
     pub checks: Vec<ScaleCheck>,
 }
 
 impl ScaleExperiment {
-    /// Reads a file; none where it has the table of no kind: it may be an experiment of the other sort.
+    /// Reads a file; `None` if it has no table of a known kind, as it may be another type of experiment.
     pub fn load(path: &Path) -> Result<Option<Self>, ExperimentError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| ExperimentError::Unreadable { path: path.to_owned(), error })?;
         Self::parse(&text).map_err(|faults| ExperimentError::Faulty { path: path.to_owned(), faults })
     }
 
-    /// Reads a text.
+    /// Parses the content of a file, as [`Self::load`] does.
     pub fn parse(text: &str) -> Result<Option<Self>, Vec<Fault>> {
-        // What is no TOML at all is told by the reader of the other sort, with its line.
+        // Invalid TOML is left to the reader of the other type of experiment, which reports the line.
         let Ok(file) = text.parse::<Table>() else { return Ok(None) };
         let Some(kind) = KINDS.iter().find(|kind| file.contains_key(kind.table)) else { return Ok(None) };
         let mut faults = Vec::new();
@@ -46,20 +46,20 @@
 
     fn read(file: &Table, kind: &'static Kind, faults: &mut Vec<Fault>) -> Option<Self> {
         let mut top = TableReader::new("", file, faults);
-        top.only(&["name", "about", "check", kind.table]);
+        top.check_keys(&["name", "about", "check", kind.table]);
         let name = top.required("name", "a text");
         let about = top.required("about", "a text");
         let settings: Option<Table> = top.required(kind.table, "a table");
         let checks: Vec<Value> = top.optional("check", "[[check]] tables").unwrap_or_default();
-        let does = settings.and_then(|table| (kind.read)(TableReader::new(kind.table, &table, faults)));
-        let groups = does.as_ref().map(|does| does.groups());
+        let runner = settings.and_then(|table| (kind.read)(TableReader::new(kind.table, &table, faults)));
+        let groups = runner.as_ref().map(|runner| runner.groups());
         let checks = read_checks(&checks, &(kind.figures)(), groups.as_deref(), faults);
-        Some(Self { name: name?, about: about?, kind, does: does?, checks })
+        Some(Self { name: name?, about: about?, kind, runner: runner?, checks })
     }
 
-    /// Runs it, and holds its checks against the runs.
+    /// Runs the experiment and evaluates its checks.
     pub fn run(&self, options: &RunOptions) -> Result<(Vec<ScaleRun>, Vec<CheckOutcome>), Box<dyn Error>> {
-        let runs = self.does.run(options)?;
+        let runs = self.runner.run(options)?;
         let outcomes = self.checks.iter().flat_map(|check| check.judge(&runs)).collect();
         Ok((runs, outcomes))
     }
@@ -84,6 +84,6 @@
             }
         }
     }
-    faults.extend(double_names(checks));
+    faults.extend(duplicate_names(checks));
     read
 }
--- a/lab/src/scale/membership.rs
+++ b/lab/src/scale/membership.rs
@@ -1,4 +1,4 @@
-//! The kind `[membership]`: cases of membership in simulated time, at several sizes.
+//! Experiments of kind `[membership]`: membership cases in simulated time, at several fleet sizes.
 
 use super::{FigureMeaning, Kind, RunOptions, ScaleKind, ScaleRun, TableReader};
 use crate::cluster::cases::{run_all, Case, CaseOutcome, Play, ALL_CASES, FIGURES};
@@ -9,36 +9,36 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// All combinations of these are played.
+/// Settings of the experiment; all combinations of `cases`, `nodes` and `loss` are run.
 #[derive(Clone, Debug, Serialize)]
 pub struct MembershipExperiment {
-    /// What happens.
+    /// The simulated cases.
     pub cases: Vec<Case>,
-    /// Numbers of nodes.
+    /// Fleet sizes, in nodes.
     pub nodes: Vec<usize>,
-    /// Parts of the datagrams that are lost.
+    /// Datagram loss rates, from 0 to 1.
     pub loss: Vec<f64>,
-    /// The network.
+    /// The network topology.
     pub topology: Topology,
-    /// From the time when all have joined to the beginning of a case.
+    /// Delay from the time all nodes have joined to the start of a case.
     #[serde(with = "humantime_serde")]
     pub settle: Duration,
-    /// How long nothing happens in the case of rest.
+    /// Duration of the idle case `rest`.
     #[serde(with = "humantime_serde")]
     pub rest: Duration,
 }
 
-/// By then what joining leaves behind is over.
-const SETTLE: Duration = Duration::from_secs(30);
-const REST: Duration = Duration::from_secs(30);
+/// Long enough for traffic caused by joining to end.
+const DEFAULT_SETTLE: Duration = Duration::from_secs(30);
+const DEFAULT_REST: Duration = Duration::from_secs(30);
 const KEYS: [&str; 6] = ["cases", "nodes", "loss", "topology", "settle", "rest"];
 
 impl MembershipExperiment {
-    /// The kind `[membership]`.
+    /// The kind of files with a table `[membership]`.
     pub const KIND: Kind = Kind { table: "membership", read: Self::read, figures };
 
     fn read(mut reader: TableReader) -> Option<Box<dyn ScaleKind>> {
-        reader.only(&KEYS);
+        reader.check_keys(&KEYS);
         let names: Vec<_> = ALL_CASES.iter().map(|case| case.name()).collect();
         let cases = reader.required("cases", &format!("a list of {}", names.join(", ")));
         let read = Self {
@@ -46,29 +46,29 @@
             nodes: reader.required("nodes", "a list of numbers").unwrap_or_default(),
             loss: reader.optional("loss", "a list of parts from 0 to 1").unwrap_or_else(|| vec![0.0]),
             topology: reader.optional("topology", "one of flat, regions").unwrap_or_default(),
-            settle: reader.duration("settle").unwrap_or(SETTLE),
-            rest: reader.duration("rest").unwrap_or(REST),
+            settle: reader.duration("settle").unwrap_or(DEFAULT_SETTLE),
+            rest: reader.duration("rest").unwrap_or(DEFAULT_REST),
         };
-        read.tell_faults(&mut reader);
-        reader.is_good().then(|| Box::new(read) as Box<dyn ScaleKind>)
+        read.validate(&mut reader);
+        reader.is_valid().then(|| Box::new(read) as Box<dyn ScaleKind>)
     }
 
-    fn tell_faults(&self, reader: &mut TableReader) {
+    fn validate(&self, reader: &mut TableReader) {
         let lists = [("cases", self.cases.len()), ("nodes", self.nodes.len()), ("loss", self.loss.len())];
         for (key, _) in lists.iter().filter(|(_, length)| *length == 0) {
-            if reader.has(key) && reader.is_good() {
+            if reader.has(key) && reader.is_valid() {
                 reader.fault(key, "an empty list", "one value and more");
             }
         }
         for nodes in &self.nodes {
-            reader.within("nodes", *nodes as f64, 2.0, 20_000.0);
+            reader.check_range("nodes", *nodes as f64, 2.0, 20_000.0);
         }
         for loss in &self.loss {
-            reader.within("loss", *loss, 0.0, 0.9);
+            reader.check_range("loss", *loss, 0.0, 0.9);
         }
-        reader.within("settle", self.settle.as_secs_f64(), 0.0, 3_600.0);
-        reader.within("rest", self.rest.as_secs_f64(), 1.0, 86_400.0);
-        // Of one case the smallest size tells it.
+        reader.check_range("settle", self.settle.as_secs_f64(), 0.0, 3_600.0);
+        reader.check_range("rest", self.rest.as_secs_f64(), 1.0, 86_400.0);
+        // It suffices to check the smallest size of each case; sizes below 2 are reported above.
         for case in &self.cases {
             let refused =
                 self.nodes.iter().min().and_then(|nodes| self.play(*case, *nodes, 0.0, 0).check().err());
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! Experiments of scale: files that `walkpick-lab run`, `list` and `explain` know by a top-level table of their own beside
-//! `name`, `about` and `[[check]]`. A kind implements [`ScaleKind`] and has a line in [`KINDS`].
+//! Scale experiments: files that `walkpick-lab run`, `list` and `explain` recognize by the top-level table of their kind,
+//! next to `name`, `about` and `[[check]]`. A kind implements [`ScaleKind`] and is listed in [`KINDS`].
 
 mod check;
 mod dissemination;
@@ -20,74 +20,74 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// One kind of experiment.
+/// A kind of scale experiment.
 pub struct Kind {
-    /// The table that makes a file one of this kind.
+    /// The top-level table that identifies files of this kind.
     pub table: &'static str,
-    /// Reads that table; none where it has faults.
+    /// Reads that table; `None` if it has errors.
     pub read: fn(TableReader) -> Option<Box<dyn ScaleKind>>,
-    /// Figures that checks may name.
+    /// The figures that checks may refer to.
     pub figures: fn() -> Vec<FigureMeaning>,
 }
 
 /// All kinds.
 pub const KINDS: [Kind; 3] = [DisseminationExperiment::KIND, Hollow::KIND, MembershipExperiment::KIND];
 
-/// What one kind of experiment does.
+/// A configured experiment of some kind.
 pub trait ScaleKind {
-    /// Groups of runs that checks may name: cases, for instance.
+    /// The groups of runs that checks may refer to, such as cases.
     fn groups(&self) -> Vec<String>;
 
-    /// All settings, those that the file leaves out among them.
+    /// All settings, including defaults.
     fn settings(&self) -> Result<toml::Value, toml::ser::Error>;
 
-    /// Runs it.
+    /// Runs the experiment.
     fn run(&self, options: &RunOptions) -> Result<Vec<ScaleRun>, Box<dyn Error>>;
 }
 
-/// A figure that may be checked.
+/// A figure that checks may refer to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FigureMeaning {
-    /// Its name.
+    /// The name.
     pub name: &'static str,
-    /// What it means.
+    /// The description.
     pub meaning: &'static str,
 }
 
-/// How an experiment is run.
+/// Options for running an experiment.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// Each run is made on each of these.
+    /// Each combination of settings is run with each of these seeds.
     pub seeds: Range<u64>,
-    /// Simulated runs at once; as many as there are cores where it is not given.
+    /// Number of concurrent simulated runs; defaults to the number of cores.
     pub jobs: Option<usize>,
-    /// The node's program, where real nodes run; the one beside this program where it is not given.
+    /// The executable for real nodes; defaults to the one next to this executable.
     pub node: Option<PathBuf>,
-    /// Where configurations and logs of real processes stay; they go with the run where it is not given.
+    /// Directory in which to keep configurations and logs of real processes; by default they are deleted after the run.
     pub logs: Option<PathBuf>,
-    /// A run in real time is void if one in a hundred things came later than this, or one ten times as late.
+    /// A real-time run is void if one in a hundred events is later than this, or one event is ten times as late.
     pub lateness: Duration,
 }
 
 impl RunOptions {
-    /// Simulated runs at once.
+    /// Number of concurrent simulated runs.
     pub fn simulated_jobs(&self) -> usize {
         self.jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from))
     }
 }
 
-/// One run and its figures.
+/// A run and its figures.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct ScaleRun {
-    /// Which run it is, in words.
+    /// A description of the run's settings.
     pub label: String,
-    /// The group that it belongs to.
+    /// The group of the run.
     pub group: String,
     /// The seed.
     pub seed: u64,
-    /// Figures by name; a missing one was not reached, or does not apply.
+    /// Figures by name; a figure is absent if it was not reached or does not apply.
     pub figures: BTreeMap<&'static str, f64>,
-    /// Why nothing can be concluded from it, where that is so.
+    /// The reason why the run is void, if it is.
     pub void: Option<String>,
 }
 
--- a/lab/src/scale/reader.rs
+++ b/lab/src/scale/reader.rs
@@ -1,11 +1,11 @@
-//! Reading a table of a file value by value, so that everything wrong with it is told at once.
+//! Reads a TOML table value by value and collects all errors instead of stopping at the first.
 
 use crate::experiment::Fault;
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 use toml::{Table, Value};
 
-/// Reads the values of one table, and collects what is wrong with them.
+/// Reads the values of one table and collects errors.
 pub struct TableReader<'a> {
     place: String,
     table: &'a Table,
@@ -14,36 +14,36 @@
 }
 
 impl<'a> TableReader<'a> {
-    /// Reads `table`, which stands at `place`.
+    /// Creates a reader of `table`; `place` prefixes the location of errors.
     pub fn new(place: &str, table: &'a Table, faults: &'a mut Vec<Fault>) -> Self {
         Self { place: place.to_owned(), table, faults_before: faults.len(), faults }
     }
 
-    /// Whether nothing was wrong with the table up to now.
-    pub fn is_good(&self) -> bool {
+    /// Whether this reader has found no errors so far.
+    pub fn is_valid(&self) -> bool {
         self.faults.len() == self.faults_before
     }
 
-    /// Whether the key is there.
+    /// Whether the table contains the key.
     pub fn has(&self, key: &str) -> bool {
         self.table.contains_key(key)
     }
 
-    /// Tells that something is wrong.
+    /// Records an error.
     pub fn fault(&mut self, key: &str, found: &str, expected: &str) {
         let place = if self.place.is_empty() { key.to_owned() } else { format!("{}: {key}", self.place) };
         self.faults.push(Fault { place, what: format!("found {found}, expected {expected}") });
     }
 
-    /// Tells of every key that is not one of these.
-    pub fn only(&mut self, keys: &[&str]) {
+    /// Records an error for every key that is not one of these.
+    pub fn check_keys(&mut self, keys: &[&str]) {
         let table = self.table;
         for key in table.keys().filter(|key| !keys.contains(&key.as_str())) {
             self.fault(key, "an unknown key", &format!("one of {}", keys.join(", ")));
         }
     }
 
-    /// A value that has to be there.
+    /// Reads a required value.
     pub fn required<T: DeserializeOwned>(&mut self, key: &str, expected: &str) -> Option<T> {
         if !self.has(key) {
             self.fault(key, "nothing", expected);
@@ -51,17 +51,17 @@
         self.optional(key, expected)
     }
 
-    /// A value that may be there.
+    /// Reads an optional value.
     pub fn optional<T: DeserializeOwned>(&mut self, key: &str, expected: &str) -> Option<T> {
         let value = self.table.get(key)?;
         let read = value.clone().try_into::<T>();
         if read.is_err() {
-            self.fault(key, &shown(value), expected);
+            self.fault(key, &truncated(value), expected);
         }
         read.ok()
     }
 
-    /// A time such as "30s" that may be there.
+    /// Reads an optional duration such as "30s".
     pub fn duration(&mut self, key: &str) -> Option<Duration> {
         const EXPECTED: &str = "a time such as \"30s\"";
         let text: String = self.optional(key, EXPECTED)?;
@@ -72,20 +72,19 @@
         read.ok()
     }
 
-    /// Tells of a value outside of its bounds.
-    pub fn within(&mut self, key: &str, value: f64, least: f64, most: f64) {
-        if !(least..=most).contains(&value) {
-            self.fault(key, &value.to_string(), &format!("{least} to {most}"));
+    /// Records an error if the value is out of range.
+    pub fn check_range(&mut self, key: &str, value: f64, min: f64, max: f64) {
+        if !(min..=max).contains(&value) {
+            self.fault(key, &value.to_string(), &format!("{min} to {max}"));
         }
     }
 }
 
-/// A value as it may stand in a line.
-fn shown(value: &Value) -> String {
-    /// Longer ones are cut.
-    const LONGEST: usize = 60;
+/// Formats a value on one line of limited length.
+fn truncated(value: &Value) -> String {
+    const MAX_CHARS: usize = 60;
     let text = value.to_string().replace('\n', " ");
-    match text.char_indices().nth(LONGEST) {
+    match text.char_indices().nth(MAX_CHARS) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text,
     }
--- a/lab/src/scale/tests.rs
+++ b/lab/src/scale/tests.rs
@@ -6,7 +6,7 @@
     [[check]]\nname = \"quiet\"\nfigure = \"bytes_per_s\"\ngroup = \"rest\"\nat_most = 1000\n\
     [[check]]\nname = \"even\"\nfigure = \"bytes_per_s\"\nspread_at_most = 3\n";
 
-fn told(text: &str) -> Vec<String> {
+fn errors(text: &str) -> Vec<String> {
     match ScaleExperiment::parse(text) {
         Ok(_) => Vec::new(),
         Err(faults) => faults.iter().map(Fault::to_string).collect(),
@@ -34,29 +34,29 @@
 }
 
 #[test]
-fn a_file_is_read_run_and_judged() {
+fn experiment_is_read_run_and_checked() {
     let experiment = ScaleExperiment::parse(SMALL).unwrap().unwrap();
     assert_eq!((experiment.name.as_str(), experiment.kind.table), ("small", "membership"));
     let (runs, checks) = experiment.run(&options()).unwrap();
-    assert_eq!(runs.len(), 8, "two cases, two sizes, two seeds");
+    assert_eq!(runs.len(), 8, "two cases, two sizes and two seeds");
     assert_eq!(runs.iter().filter(|run| run.group == "kill").count(), 4);
     assert!(runs.iter().all(|run| run.figures["bytes_per_s"] > 0.0));
-    assert_eq!(checks.len(), 5, "four runs of rest, and one spread");
+    assert_eq!(checks.len(), 5, "four runs of rest and one spread check");
     assert!(checks.iter().all(|check| check.holds), "{checks:?}");
 }
 
 #[test]
-fn other_files_are_left_to_the_other_reader() {
+fn files_without_a_table_of_a_known_kind_are_ignored() {
     assert!(ScaleExperiment::parse("name = \"x\"\nabout = \"y\"\nlength = \"10s\"\n").unwrap().is_none());
     assert!(ScaleExperiment::parse("no toml").unwrap().is_none());
 }
 
 #[test]
-fn all_faults_are_told_at_once_with_place_found_and_expected() {
+fn all_errors_are_reported_with_location_found_and_expected() {
     let text =
         "about = 3\nlength = \"10s\"\n[membership]\ncases = [\"melt\"]\nnodes = [1, 6]\nloss = [2.0]\n\
         settle = \"soon\"\nsize = 3\n[[check]]\nname = \"c\"\nfigure = \"luck\"\nat_most = 1\n";
-    let told = told(text);
+    let errors = errors(text);
     for part in [
         "length: found an unknown key, expected one of name, about, check, membership",
         "name: found nothing, expected a text",
@@ -68,31 +68,31 @@
         "check 1: figure: found \"luck\", expected one of joined_s",
         "membership: settle: found \"soon\", expected a time such as \"30s\"",
     ] {
-        assert!(told.iter().any(|line| line.starts_with(part)), "{part} is not in {told:#?}");
+        assert!(errors.iter().any(|line| line.starts_with(part)), "{part} is not in {errors:#?}");
     }
-    assert_eq!(told.len(), 9, "{told:#?}");
+    assert_eq!(errors.len(), 9, "{errors:#?}");
 }
 
 #[test]
-fn faults_of_checks_and_sizes_are_told_too() {
+fn errors_of_checks_and_sizes_are_reported() {
     let text = "name = \"x\"\nabout = \"y\"\n[membership]\ncases = [\"rest\"]\nnodes = [6]\n\
         [[check]]\nname = \"c\"\nfigure = \"luck\"\ngroup = \"kill\"\n\
         [[check]]\nname = \"d\"\nfigure = \"rejoined\"\nat_most = 1\n\
         [[check]]\nname = \"d\"\nfigure = \"rejoined\"\nat_most = 1\n";
-    let found = told(text);
+    let found = errors(text);
     assert_eq!(found.len(), 4, "{found:#?}");
     assert!(found[0].starts_with("check 1: figure: found \"luck\", expected one of joined_s"), "{found:?}");
     assert_eq!(found[1], "check 1: group: found \"kill\", expected one of rest");
     assert_eq!(found[2], "check 1: bound: found none, expected at_least, at_most or spread_at_most");
     assert_eq!(found[3], "check 3: name: found \"d\" a second time, expected a name of its own");
     let text = "name = \"x\"\nabout = \"y\"\n[membership]\ncases = [\"region-cut\"]\nnodes = [66, 265]\n";
-    assert_eq!(told(text), ["membership: nodes: found 66, expected 132 and more for region-cut"]);
+    assert_eq!(errors(text), ["membership: nodes: found 66, expected 132 and more for region-cut"]);
     let text = "name = \"x\"\nabout = \"y\"\n[membership]\ncases = []\nnodes = [6]\n";
-    assert_eq!(told(text), ["membership: cases: found an empty list, expected one value and more"]);
+    assert_eq!(errors(text), ["membership: cases: found an empty list, expected one value and more"]);
 }
 
 #[test]
-fn a_figure_that_was_not_reached_breaks_its_check_and_a_void_run_is_not_judged() {
+fn missing_figure_fails_its_check_and_void_run_is_ignored() {
     let most = ScaleCheck { at_most: Some(5.0), ..check("bytes_per_s") };
     let holds = |run: ScaleRun| most.judge(&[run]).iter().map(|outcome| outcome.holds).collect::<Vec<_>>();
     assert_eq!(holds(run_of("rest", Some(5.0))), [true]);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_spread_is_over_all_runs_of_its_group() {
+fn spread_is_computed_over_all_runs_of_its_group() {
     let runs = [run_of("rest", Some(2.0)), run_of("rest", Some(3.0)), run_of("kill", Some(9.0))];
     let spread = |most: f64, group: Option<&str>| {
         let group = group.map(str::to_owned);
--- a/lab/src/slopes/faults.rs
+++ b/lab/src/slopes/faults.rs
@@ -1,66 +1,66 @@
-//! What may be wrong with a file of series or of slopes.
+//! Errors of series files and slopes files.
 
 use std::fmt;
 use std::path::PathBuf;
 
-/// One thing that is wrong, and where.
+/// An error in a file, and its location.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// The place in the file, such as `[3].points[2].value`.
-    pub place: String,
-    /// What stands there.
+    /// The path of the value within the file, such as `[3].points[2].value`.
+    pub location: String,
+    /// The value found.
     pub found: String,
-    /// What would be right.
+    /// A description of valid values.
     pub expected: String,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "{}: found {}, expected {}", self.place, self.found, self.expected)
+        write!(to, "{}: found {}, expected {}", self.location, self.found, self.expected)
     }
 }
 
-/// Why series or slopes could not be used.
+/// Why a series file or a slopes file could not be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SlopesError {
     /// The file could not be read.
     #[error("{path}: cannot be read: {error}", path = path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
     /// The file could not be written.
     #[error("{path}: cannot be written: {error}", path = path.display())]
     Unwritable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// The file is no JSON.
+    /// The file is not valid JSON.
     #[error("{path}: line {line}, column {column}: found {found}, expected JSON", path = path.display())]
-    NoJson {
-        /// The file.
+    InvalidJson {
+        /// The path of the file.
         path: PathBuf,
         /// The line.
         line: usize,
         /// The column.
         column: usize,
-        /// What the reader says of it.
+        /// The message of the JSON parser.
         found: String,
     },
-    /// The content is not what it should be: every fault of it.
-    #[error("{}", one_a_line(path, faults))]
-    Faults {
-        /// The file.
+    /// The file is valid JSON with invalid content.
+    #[error("{}", one_per_line(path, faults))]
+    Invalid {
+        /// The path of the file.
         path: PathBuf,
-        /// All that is wrong.
+        /// All errors in the file.
         faults: Vec<Fault>,
     },
 }
 
-fn one_a_line(path: &std::path::Path, faults: &[Fault]) -> String {
+fn one_per_line(path: &std::path::Path, faults: &[Fault]) -> String {
     faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect::<Vec<_>>().join("\n")
 }
--- a/lab/src/slopes/file.rs
+++ b/lab/src/slopes/file.rs
@@ -1,4 +1,4 @@
-//! The slopes file: series with when, where and on which commit they were measured, and their fits.
+//! The slopes file: measured series with the date, machine and commit of the measurement, and their fits.
 
 use super::read::{read_json, Reader};
 use super::{Fit, Method, Series, SlopesError};
@@ -7,47 +7,47 @@
 use std::path::Path;
 
 const STAMP_FIELDS: [&str; 3] = ["date", "commit", "cores"];
-/// Follow from the points: written for readers, and worked out anew from the points when the file is read.
+/// Fields derived from the points: written for human readers, and recomputed from the points when the file is read.
 const DERIVED_FIELDS: [&str; 4] = ["seeds", "sizes", "plays", "fit"];
 
-/// When and where a series was measured.
+/// The circumstances under which a series was measured.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Stamp {
-    /// When the measuring tool wrote it.
+    /// When the measuring tool wrote the series.
     pub date: String,
-    /// The commit that the tree stood at.
+    /// The commit of the working tree.
     pub commit: String,
-    /// The machine's cores.
+    /// Number of cores of the machine.
     pub cores: usize,
 }
 
-/// A series of the slopes file.
+/// A series in the slopes file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recorded {
-    /// What was measured.
+    /// The measured series.
     pub series: Series,
-    /// When and where.
+    /// The circumstances of the measurement.
     pub stamp: Stamp,
     /// The fit of its points.
     pub fit: Fit,
 }
 
 impl Recorded {
-    /// A series with its stamp; none without points.
+    /// Combines a series with its stamp and fits it; `None` if it has no points.
     pub fn new(series: Series, stamp: Stamp) -> Option<Self> {
         let fit = Fit::of(&series.points)?;
         Some(Self { series, stamp, fit })
     }
 }
 
-/// All series that figures are worked out from.
+/// All measured series, sorted by name and method.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SlopesFile {
     recorded: Vec<Recorded>,
 }
 
 impl SlopesFile {
-    /// Reads a slopes file; every fault of it at once.
+    /// Reads a slopes file; reports all errors at once.
     pub fn load(path: &Path) -> Result<Self, SlopesError> {
         let json = read_json(path)?;
         let mut reader = Reader::default();
@@ -55,12 +55,12 @@
             reader.fault("the file", &json, "an object with the field series");
             return reader.finish(path, Self::default());
         };
-        reader.unknown(fields, "the file", &["series"]);
+        reader.check_unknown_fields(fields, "the file", &["series"]);
         let items = fields.get("series").unwrap_or(&Value::Null);
-        let further = [&STAMP_FIELDS[..], &DERIVED_FIELDS].concat();
-        let series = reader.all_series(items, "series", &further);
+        let extra_fields = [&STAMP_FIELDS[..], &DERIVED_FIELDS].concat();
+        let series = reader.all_series(items, "series", &extra_fields);
         let stamps = read_stamps(&mut reader, items);
-        // The two are of one length where there is no fault, and else they are not used.
+        // If the lengths differ there was an error, and `finish` discards the result.
         let recorded = series.into_iter().zip(stamps);
         let mut slopes = Self::default();
         recorded
@@ -69,7 +69,7 @@
         reader.finish(path, slopes)
     }
 
-    /// The same, or an empty one where there is no file yet.
+    /// Like [`Self::load`], but returns an empty file if `path` does not exist.
     pub fn load_or_empty(path: &Path) -> Result<Self, SlopesError> {
         if path.exists() {
             Self::load(path)
@@ -78,12 +78,12 @@
         }
     }
 
-    /// All series, by name and method.
+    /// All series, sorted by name and method.
     pub fn recorded(&self) -> &[Recorded] {
         &self.recorded
     }
 
-    /// The series of this name; of several methods the one nearest to what runs.
+    /// The series with this name; if several methods measured it, the one closest to production.
     pub fn find(&self, name: &str) -> Option<&Recorded> {
         let nearness = |recorded: &&Recorded| match recorded.series.method {
             Method::Real => 0,
@@ -94,7 +94,7 @@
         self.recorded.iter().filter(|recorded| recorded.series.name == name).min_by_key(nearness)
     }
 
-    /// Takes a series in; one of the same name and method gives way to it.
+    /// Adds a series; replaces one with the same name and method.
     pub fn add(&mut self, recorded: Recorded) {
         let key = |recorded: &Recorded| (recorded.series.name.clone(), recorded.series.method);
         match self.recorded.binary_search_by_key(&key(&recorded), key) {
@@ -103,14 +103,14 @@
         }
     }
 
-    /// Writes it, one line for each point.
+    /// Writes the file, with one line per point.
     pub fn save(&self, path: &Path) -> Result<(), SlopesError> {
         let unwritable = |error| SlopesError::Unwritable { path: path.to_owned(), error };
         let text = self.render().map_err(|error| unwritable(error.into()))?;
         std::fs::write(path, text).map_err(unwritable)
     }
 
-    /// As it stands in the file.
+    /// Renders the content of the file.
     pub fn render(&self) -> Result<String, serde_json::Error> {
         if self.recorded.is_empty() {
             return Ok("{\"series\": []}\n".to_owned());
@@ -124,13 +124,13 @@
     let mut stamps = Vec::new();
     for (i, item) in items.as_array().into_iter().flatten().enumerate() {
         let Some(fields) = item.as_object() else { continue };
-        let place = format!("series[{i}]");
-        let date = reader.text(fields, &place, "date");
-        let commit = reader.text(fields, &place, "commit");
+        let location = format!("series[{i}]");
+        let date = reader.text(fields, &location, "date");
+        let commit = reader.text(fields, &location, "commit");
         let found = fields.get("cores").unwrap_or(&Value::Null);
         let cores = found.as_u64().filter(|cores| *cores > 0);
         if cores.is_none() {
-            reader.fault(&format!("{place}.cores"), found, "a whole number above 0");
+            reader.fault(&format!("{location}.cores"), found, "a whole number above 0");
         }
         if let (Some(date), Some(commit), Some(cores)) = (date, commit, cores) {
             stamps.push(Stamp { date, commit, cores: cores as usize });
--- a/lab/src/slopes/fit.rs
+++ b/lab/src/slopes/fit.rs
@@ -1,32 +1,32 @@
-//! Least squares of a cost against its size, the shape that fits best, and what the fit says of other sizes.
+//! Least-squares fits of a cost against a size: selects the best shape and estimates the cost at other sizes.
 
 use super::Point;
 use serde::Serialize;
 use std::fmt;
 
-/// Fewer sizes than this don't show a shape.
-pub const FEWEST_SIZES: usize = 4;
-/// A line is preferred to a constant only where it leaves less than this part of the constant's standard error:
-/// a second parameter always leaves a little less.
-const LINE_MUST_GAIN: f64 = 0.9;
-/// The means of the sizes may lie so far from the line (root mean square, as a part of their mean); beyond it the cost is
-/// no straight line.
-const STRAIGHT_WITHIN: f64 = 0.1;
+/// The fewest sizes from which a shape can be inferred.
+pub const MIN_SIZES: usize = 4;
+/// A line is preferred to a constant only if its standard error is below this fraction of the constant's: a second
+/// parameter always reduces the error a little.
+const MAX_LINE_ERROR_RATIO: f64 = 0.9;
+/// The largest deviation of the size means from the line (root mean square, relative to their mean) at which the cost
+/// still counts as following the line.
+const MAX_RELATIVE_DEVIATION: f64 = 0.1;
 
-/// What a cost grows with.
+/// How a cost depends on the size.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// Not with the size at all.
+    /// Independent of the size.
     Constant,
-    /// With the logarithm (to the base 2) of the size.
+    /// Linear in the base-2 logarithm of the size.
     Logarithm,
-    /// With the size.
+    /// Linear in the size.
     Linear,
 }
 
 impl Shape {
-    fn of(self, size: f64) -> f64 {
+    fn transform(self, size: f64) -> f64 {
         match self {
             Self::Constant => 0.0,
             Self::Logarithm => size.log2(),
@@ -52,52 +52,52 @@
     }
 }
 
-/// What the points allow one to say.
+/// Whether the fit describes the points.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// Fewer than four sizes.
+    /// There are fewer than [`MIN_SIZES`] (four) sizes.
     TooFewSizes,
-    /// The cost follows the named shape.
+    /// The cost follows the fitted shape.
     Straight,
-    /// No shape fits: the points stand for themselves.
+    /// No shape fits; estimates interpolate between the points.
     NoStraightLine,
 }
 
 /// A least-squares fit over all points of a series.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// What may be said at all.
+    /// Whether the fit describes the points.
     pub verdict: Verdict,
-    /// The shape that fits best.
+    /// The best-fitting shape.
     pub shape: Shape,
-    /// The cost at nought of the shape's variable.
+    /// The cost where the variable of the shape is zero.
     pub intercept: f64,
-    /// What one more of the shape's variable costs.
+    /// The cost per unit of the variable of the shape.
     pub slope: f64,
-    /// Root mean square of what the fit leaves.
+    /// Root mean square of the residuals.
     pub residual: f64,
-    /// The same as a part of the mean value.
+    /// The residual relative to the mean value.
     pub relative_residual: f64,
-    /// Part of the variance that the fit explains; nought for a constant.
+    /// Fraction of the variance that the fit explains; zero for a constant.
     pub r_squared: f64,
-    /// How many sizes.
+    /// Number of sizes.
     pub sizes: usize,
-    /// How many plays.
+    /// Number of runs (points).
     pub plays: usize,
-    /// The least size.
+    /// The smallest size.
     pub from: f64,
     /// The largest size.
     pub to: f64,
-    /// The most that a play lies above the line.
+    /// The largest distance of a point above the line.
     #[serde(skip)]
-    pub above: f64,
-    /// The mean at each size, in the order of sizes.
+    pub max_above_line: f64,
+    /// The summary of each size, in ascending order of size.
     #[serde(skip)]
     pub means: Vec<Mean>,
 }
 
-/// The mean of all plays of one size.
+/// Summary of all runs at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mean {
     /// The size.
@@ -105,17 +105,17 @@
     /// The mean value.
     pub value: f64,
     /// The largest value.
-    pub largest: f64,
+    pub max: f64,
 }
 
-/// Where a size lies to what was measured.
+/// The position of a size relative to the measured range.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reach {
-    /// Within the measured sizes.
+    /// Within the measured range.
     Measured,
-    /// Below the least one, by this factor.
+    /// Below the smallest measured size, by this factor.
     Below(f64),
-    /// Above the largest one, by this factor.
+    /// Above the largest measured size, by this factor.
     Above(f64),
 }
 
@@ -129,56 +129,56 @@
     }
 }
 
-/// What a fit says of a size.
+/// The estimated cost at a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// The cost, never below nought.
+    /// The cost; not negative.
     pub value: f64,
-    /// Whether sizes like it were measured.
+    /// Whether the size lies within the measured range.
     pub reach: Reach,
 }
 
-/// One shape, tried.
-pub(super) struct Tried {
+/// The least-squares fit of one shape.
+pub(super) struct Candidate {
     pub(super) shape: Shape,
     pub(super) intercept: f64,
     pub(super) slope: f64,
-    /// The sum of the squares that it leaves.
-    pub(super) squares: f64,
+    /// The residual sum of squares.
+    pub(super) sum_of_squares: f64,
 }
 
 impl Fit {
-    /// Of points; none where there are none.
+    /// Fits the points; `None` if there are none.
     pub fn of(points: &[Point]) -> Option<Self> {
         let means = means(points);
         let (first, last) = (means.first()?, means.last()?);
-        let tried = best(points, means.len());
+        let candidate = best_fit(points, means.len());
         let (plays, mean) = (points.len() as f64, points.iter().map(|point| point.value).sum::<f64>());
         let mean = mean / plays;
         let spread: f64 = points.iter().map(|point| (point.value - mean).powi(2)).sum();
-        let residual = (tried.squares / plays).sqrt();
+        let residual = (candidate.sum_of_squares / plays).sqrt();
         let mut fit = Self {
             verdict: Verdict::TooFewSizes,
-            shape: tried.shape,
-            intercept: tried.intercept,
-            slope: tried.slope,
+            shape: candidate.shape,
+            intercept: candidate.intercept,
+            slope: candidate.slope,
             residual,
             relative_residual: if mean > 0.0 { residual / mean } else { 0.0 },
-            r_squared: if spread > 0.0 { (1.0 - tried.squares / spread).max(0.0) } else { 0.0 },
+            r_squared: if spread > 0.0 { (1.0 - candidate.sum_of_squares / spread).max(0.0) } else { 0.0 },
             sizes: means.len(),
             plays: points.len(),
             from: first.size,
             to: last.size,
-            above: 0.0,
+            max_above_line: 0.0,
             means,
         };
-        let above = points.iter().map(|point| point.value - fit.line(point.size));
-        fit.above = above.fold(0.0, f64::max);
-        fit.verdict = fit.judge();
+        let above = points.iter().map(|point| point.value - fit.predict(point.size));
+        fit.max_above_line = above.fold(0.0, f64::max);
+        fit.verdict = fit.classify();
         Some(fit)
     }
 
-    /// The line in words; where no line holds, why, and the mean of each size.
+    /// The formula of the line; if the points do not follow one, the reason and the mean of each size.
     pub fn formula(&self, number: impl Fn(f64) -> String) -> String {
         let line = match self.shape {
             Shape::Constant => number(self.intercept),
@@ -192,38 +192,41 @@
         }
     }
 
-    fn judge(&self) -> Verdict {
-        if self.sizes < FEWEST_SIZES {
+    fn classify(&self) -> Verdict {
+        if self.sizes < MIN_SIZES {
             return Verdict::TooFewSizes;
         }
         let sizes = self.sizes as f64;
         let mean = self.means.iter().map(|mean| mean.value).sum::<f64>() / sizes;
-        let off: f64 = self.means.iter().map(|mean| (mean.value - self.line(mean.size)).powi(2)).sum();
-        match (off / sizes).sqrt() <= STRAIGHT_WITHIN * mean {
+        let off: f64 = self.means.iter().map(|mean| (mean.value - self.predict(mean.size)).powi(2)).sum();
+        match (off / sizes).sqrt() <= MAX_RELATIVE_DEVIATION * mean {
             true => Verdict::Straight,
             false => Verdict::NoStraightLine,
         }
     }
 
-    fn line(&self, size: f64) -> f64 {
-        self.intercept + self.slope * self.shape.of(size)
+    fn predict(&self, size: f64) -> f64 {
+        self.intercept + self.slope * self.shape.transform(size)
     }
 
-    /// What a size costs: by the shape where it fits, else between the means of the nearest sizes.
-    pub fn at(&self, size: f64) -> Estimate {
+    /// Estimates the mean cost at a size: by the line if the points follow it, else interpolated between the means of the
+    /// nearest sizes.
+    pub fn mean_at(&self, size: f64) -> Estimate {
         let value = match self.verdict {
-            Verdict::Straight => self.line(size),
-            Verdict::TooFewSizes | Verdict::NoStraightLine => between(&self.means, size, |mean| mean.value),
+            Verdict::Straight => self.predict(size),
+            Verdict::TooFewSizes | Verdict::NoStraightLine => {
+                interpolate(&self.means, size, |mean| mean.value)
+            }
         };
         Estimate { value: value.max(0.0), reach: self.reach(size) }
     }
 
-    /// The same for the largest play in place of the mean: the line and the most that a play lay above it, or between the
-    /// largest plays of the nearest sizes.
-    pub fn largest_at(&self, size: f64) -> Estimate {
+    /// Estimates the largest cost of a run at a size: by the line plus the largest distance of a point above it, else
+    /// interpolated between the maxima of the nearest sizes.
+    pub fn max_at(&self, size: f64) -> Estimate {
         let value = match self.verdict {
-            Verdict::Straight => self.line(size) + self.above,
-            Verdict::TooFewSizes | Verdict::NoStraightLine => between(&self.means, size, |mean| mean.largest),
+            Verdict::Straight => self.predict(size) + self.max_above_line,
+            Verdict::TooFewSizes | Verdict::NoStraightLine => interpolate(&self.means, size, |mean| mean.max),
         };
         Estimate { value: value.max(0.0), reach: self.reach(size) }
     }
@@ -239,8 +242,8 @@
     }
 }
 
-/// Straight from size to size; past the ends as the two nearest sizes go on.
-fn between(means: &[Mean], size: f64, value: impl Fn(&Mean) -> f64) -> f64 {
+/// Interpolates linearly between sizes; beyond the ends, extrapolates from the two nearest sizes.
+fn interpolate(means: &[Mean], size: f64, value: impl Fn(&Mean) -> f64) -> f64 {
     let after = means.iter().position(|mean| mean.size >= size).unwrap_or(means.len());
     let last = means.len().saturating_sub(1);
     let to = after.clamp(1.min(last), last);
@@ -259,40 +262,45 @@
         .map(|alike| Mean {
             size: alike[0].size,
             value: alike.iter().map(|point| point.value).sum::<f64>() / alike.len() as f64,
-            largest: alike.iter().map(|point| point.value).fold(0.0, f64::max),
+            max: alike.iter().map(|point| point.value).fold(0.0, f64::max),
         })
         .collect()
 }
 
-/// The shape that leaves the least standard error; the simpler one where it is a close thing.
-fn best(points: &[Point], sizes: usize) -> Tried {
-    let constant = try_shape(points, Shape::Constant);
+/// Selects the shape with the smallest standard error; prefers the constant if a line gains little.
+fn best_fit(points: &[Point], sizes: usize) -> Candidate {
+    let constant = fit_shape(points, Shape::Constant);
     if sizes < 2 {
         return constant;
     }
-    let lines = [Shape::Logarithm, Shape::Linear].map(|shape| try_shape(points, shape));
+    let lines = [Shape::Logarithm, Shape::Linear].map(|shape| fit_shape(points, shape));
     let [logarithm, linear] = lines;
-    let line = if linear.squares < logarithm.squares { linear } else { logarithm };
-    let error = |tried: &Tried| {
-        let free = points.len().saturating_sub(tried.shape.parameters()).max(1);
-        (tried.squares / free as f64).sqrt()
+    let line = if linear.sum_of_squares < logarithm.sum_of_squares { linear } else { logarithm };
+    let error = |candidate: &Candidate| {
+        let free = points.len().saturating_sub(candidate.shape.parameters()).max(1);
+        (candidate.sum_of_squares / free as f64).sqrt()
     };
-    if error(&line) < LINE_MUST_GAIN * error(&constant) {
+    if error(&line) < MAX_LINE_ERROR_RATIO * error(&constant) {
         line
     } else {
         constant
     }
 }
 
-pub(super) fn try_shape(points: &[Point], shape: Shape) -> Tried {
+pub(super) fn fit_shape(points: &[Point], shape: Shape) -> Candidate {
     let count = points.len().max(1) as f64;
-    let x_mean = points.iter().map(|point| shape.of(point.size)).sum::<f64>() / count;
+    let x_mean = points.iter().map(|point| shape.transform(point.size)).sum::<f64>() / count;
     let y_mean = points.iter().map(|point| point.value).sum::<f64>() / count;
-    let x_squares: f64 = points.iter().map(|point| (shape.of(point.size) - x_mean).powi(2)).sum();
+    let x_squares: f64 = points.iter().map(|point| (shape.transform(point.size) - x_mean).powi(2)).sum();
     let products: f64 =
-        points.iter().map(|point| (shape.of(point.size) - x_mean) * (point.value - y_mean)).sum();
+        points.iter().map(|point| (shape.transform(point.size) - x_mean) * (point.value - y_mean)).sum();
     let slope = if x_squares > 0.0 { products / x_squares } else { 0.0 };
     let intercept = y_mean - slope * x_mean;
-    let left = |point: &Point| point.value - intercept - slope * shape.of(point.size);
-    Tried { shape, intercept, slope, squares: points.iter().map(|point| left(point).powi(2)).sum() }
+    let left = |point: &Point| point.value - intercept - slope * shape.transform(point.size);
+    Candidate {
+        shape,
+        intercept,
+        slope,
+        sum_of_squares: points.iter().map(|point| left(point).powi(2)).sum(),
+    }
 }
--- a/lab/src/slopes/mod.rs
+++ b/lab/src/slopes/mod.rs
@@ -1,4 +1,4 @@
-//! Measured costs against a size: series of points, their least-squares fit, and the file that keeps them.
+//! Measured costs against a size: series of points, their least-squares fits, and the slopes file that stores them.
 
 mod faults;
 mod file;
@@ -8,7 +8,7 @@
 
 pub use faults::{Fault, SlopesError};
 pub use file::{Recorded, SlopesFile, Stamp};
-pub use fit::{Estimate, Fit, Reach, Shape, Verdict, FEWEST_SIZES};
+pub use fit::{Estimate, Fit, Reach, Shape, Verdict, MIN_SIZES};
 pub use read::read_series;
 pub use series::{write_series, Method, Point, Series};
 
--- a/lab/src/slopes/series.rs
+++ b/lab/src/slopes/series.rs
@@ -1,4 +1,4 @@
-//! The form in which every measuring tool writes what it has measured: a JSON array of series.
+//! The output format of all measuring tools: a JSON array of series.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -10,19 +10,19 @@
 pub enum Method {
     /// In simulated time, without sockets.
     Simulated,
-    /// The control parts of many nodes in one process, on real sockets.
+    /// The control functions of many nodes in one process, on real sockets.
     Hollow,
     /// Complete processes on real sockets.
     Real,
-    /// Calls of the code in one process, without sockets.
+    /// Direct calls of the code in one process, without sockets.
     InProcess,
 }
 
 impl Method {
-    /// Every method.
+    /// All methods.
     pub const ALL: [Self; 4] = [Self::Simulated, Self::Hollow, Self::Real, Self::InProcess];
 
-    /// As JSON has it.
+    /// The name used in JSON.
     pub fn name(self) -> &'static str {
         match self {
             Self::Simulated => "simulated",
@@ -39,35 +39,35 @@
     }
 }
 
-/// What one play measured at one size.
+/// The measurement of one run at one size.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Point {
-    /// The size, in what the series stands against.
+    /// The size, as a value of the series' size variable.
     pub size: f64,
-    /// What was measured, in the series' unit.
+    /// The measured value, in the series' unit.
     pub value: f64,
-    /// The seed of the play.
+    /// The seed of the run.
     pub seed: u64,
 }
 
-/// A cost that was measured at several sizes.
+/// A cost measured at several sizes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Series {
-    /// What it is called, such as `membership.bytes_per_second.rest`.
+    /// The name, such as `membership.bytes_per_second.rest`.
     pub name: String,
     /// The unit of the values, such as `B/s`.
     pub unit: String,
-    /// What the sizes count, such as `nodes`.
+    /// The size variable, such as `nodes`.
     pub against: String,
     /// How it was measured.
     pub method: Method,
-    /// The command that measures it again.
+    /// The command that reproduces the measurement.
     pub command: String,
-    /// One point for each play.
+    /// One point per run.
     pub points: Vec<Point>,
 }
 
-/// Writes series in the common form.
+/// Writes series as a series file.
 pub fn write_series(path: &Path, series: &[Series]) -> std::io::Result<()> {
     let mut text = serde_json::to_string_pretty(series)?;
     text.push('\n');
--- a/lab/src/slopes/tests.rs
+++ b/lab/src/slopes/tests.rs
@@ -1,4 +1,4 @@
-//! Fits of known shapes, the slopes file, and files that are wrong.
+//! Tests of fits of known shapes, of the slopes file and of invalid files.
 
 use super::*;
 use std::path::PathBuf;
@@ -27,13 +27,13 @@
 
 const SIZES: [f64; 6] = [66.0, 132.0, 265.0, 530.0, 1_060.0, 2_120.0];
 
-/// Two plays a size, a little above and a little below what `cost` says.
+/// Two runs per size, 1% above and 1% below `cost`.
 fn points(sizes: &[f64], cost: impl Fn(f64) -> f64) -> Vec<Point> {
-    let play = |size: f64, seed: u64| {
+    let run = |size: f64, seed: u64| {
         let noise = if seed == 1 { 1.01 } else { 0.99 };
         Point { size, value: cost(size) * noise, seed }
     };
-    sizes.iter().flat_map(|size| [play(*size, 1), play(*size, 2)]).collect()
+    sizes.iter().flat_map(|size| [run(*size, 1), run(*size, 2)]).collect()
 }
 
 fn series(name: &str, method: Method, points: Vec<Point>) -> Series {
@@ -56,28 +56,28 @@
 }
 
 #[test]
-fn a_cost_that_grows_with_the_size_is_fitted_by_it() {
+fn linear_cost_is_fitted_by_a_line() {
     let fit = Fit::of(&points(&SIZES, |size| 30.0 + 0.5 * size)).unwrap();
     assert_eq!((fit.shape, fit.verdict), (Shape::Linear, Verdict::Straight));
     near(fit.intercept, 30.0);
     near(fit.slope, 0.5);
     assert_eq!((fit.sizes, fit.plays), (6, 12));
     assert!(fit.r_squared > 0.99 && fit.relative_residual < 0.02, "{fit:?}");
-    near(fit.at(400.0).value, 230.0);
+    near(fit.mean_at(400.0).value, 230.0);
 }
 
 #[test]
-fn residual_and_r_squared_are_those_of_the_textbook() {
-    // By hand: slope 0.6, intercept 2.2, squares left 2.4, squares in all 6.
+fn residual_and_r_squared_match_hand_calculation() {
+    // By hand: slope 0.6, intercept 2.2, residual sum of squares 2.4, total sum of squares 6.
     let values = [2.0, 4.0, 5.0, 4.0, 5.0];
     let point = |(value, size): (&f64, i32)| Point { size: f64::from(size), value: *value, seed: 1 };
     let points: Vec<_> = values.iter().zip(1..).map(point).collect();
-    let line = super::fit::try_shape(&points, Shape::Linear);
+    let line = super::fit::fit_shape(&points, Shape::Linear);
     near(line.slope, 0.6);
     near(line.intercept, 2.2);
-    near(line.squares, 2.4);
+    near(line.sum_of_squares, 2.4);
     let fit = Fit::of(&points).unwrap();
-    // The logarithm leaves less of these.
+    // The logarithm fits these points better than the line.
     assert_eq!(fit.shape, Shape::Logarithm);
     near(fit.residual.powi(2) * 5.0, 6.0 * (1.0 - fit.r_squared));
 }
@@ -90,51 +90,51 @@
 }
 
 #[test]
-fn a_cost_that_does_not_grow_is_constant() {
+fn constant_cost_is_fitted_by_a_constant() {
     let fit = Fit::of(&points(&SIZES, |_| 650.0)).unwrap();
     assert_eq!((fit.shape, fit.verdict, fit.slope), (Shape::Constant, Verdict::Straight, 0.0));
     near(fit.intercept, 650.0);
-    near(fit.at(1e6).value, 650.0);
+    near(fit.mean_at(1e6).value, 650.0);
 }
 
 #[test]
-fn a_cost_with_a_knee_is_no_straight_line_and_its_points_stand() {
+fn piecewise_linear_cost_is_interpolated_between_points() {
     let knee = |size: f64| if size <= 265.0 { 650.0 } else { 650.0 + 20.0 * (size - 265.0) };
     let fit = Fit::of(&points(&SIZES, knee)).unwrap();
     assert_eq!(fit.verdict, Verdict::NoStraightLine);
-    near(fit.at(132.0).value, 650.0);
-    near(fit.at(530.0).value, knee(530.0));
-    near(fit.at(795.0).value, knee(795.0));
-    // Past the end it goes on as between the last two sizes.
-    near(fit.at(4_240.0).value, knee(4_240.0));
+    near(fit.mean_at(132.0).value, 650.0);
+    near(fit.mean_at(530.0).value, knee(530.0));
+    near(fit.mean_at(795.0).value, knee(795.0));
+    // Beyond the largest size, the last two sizes are extrapolated.
+    near(fit.mean_at(4_240.0).value, knee(4_240.0));
 }
 
 #[test]
-fn three_sizes_are_too_few() {
+fn fewer_than_four_sizes_give_no_line() {
     let fit = Fit::of(&points(&SIZES[..3], |size| size)).unwrap();
     assert_eq!((fit.verdict, fit.sizes), (Verdict::TooFewSizes, 3));
     let fit = Fit::of(&points(&SIZES[..4], |size| size)).unwrap();
     assert_eq!(fit.verdict, Verdict::Straight);
     assert_eq!(Fit::of(&[]), None);
     let one = Fit::of(&points(&SIZES[..1], |_| 7.0)).unwrap();
-    near(one.at(500.0).value, 7.0);
+    near(one.mean_at(500.0).value, 7.0);
 }
 
 #[test]
-fn what_lies_past_the_sizes_is_called_extrapolated_and_how_far() {
+fn estimates_outside_the_measured_sizes_state_the_distance() {
     let fit = Fit::of(&points(&SIZES, |size| size)).unwrap();
-    assert_eq!(fit.at(66.0).reach, Reach::Measured);
-    assert_eq!(fit.at(2_120.0).reach, Reach::Measured);
-    assert_eq!(fit.at(4_240.0).reach, Reach::Above(2.0));
-    assert_eq!(fit.at(33.0).reach, Reach::Below(2.0));
-    assert!(fit.at(4_240.0).reach.to_string().contains("2.0 times past"));
-    // A line with a negative intercept says nought and not less.
+    assert_eq!(fit.mean_at(66.0).reach, Reach::Measured);
+    assert_eq!(fit.mean_at(2_120.0).reach, Reach::Measured);
+    assert_eq!(fit.mean_at(4_240.0).reach, Reach::Above(2.0));
+    assert_eq!(fit.mean_at(33.0).reach, Reach::Below(2.0));
+    assert!(fit.mean_at(4_240.0).reach.to_string().contains("2.0 times past"));
+    // Estimates are limited to zero where the line is negative.
     let steep = Fit::of(&points(&SIZES, |size| 10.0 * size - 600.0)).unwrap();
-    assert_eq!(steep.at(1.0).value, 0.0);
+    assert_eq!(steep.mean_at(1.0).value, 0.0);
 }
 
 #[test]
-fn the_file_keeps_others_and_replaces_the_same_name_and_method() {
+fn added_series_replaces_only_the_same_name_and_method() {
     let folder = Folder::new("file");
     let path = folder.0.join("slopes.json");
     let mut slopes = SlopesFile::load_or_empty(&path).unwrap();
@@ -165,7 +165,7 @@
             ("b", Method::Hollow, 2.0, true)
         ]
     );
-    assert_eq!(read, slopes, "what is read is what was written");
+    assert_eq!(read, slopes, "the file reads back as written");
     assert_eq!(read.render().unwrap(), std::fs::read_to_string(&path).unwrap());
     let json: serde_json::Value = serde_json::from_str(&read.render().unwrap()).unwrap();
     assert_eq!(json["series"][0]["seeds"], serde_json::json!([1, 2]));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn what_tools_write_is_read_back() {
+fn written_series_are_read_back_unchanged() {
     let folder = Folder::new("series");
     let path = folder.0.join("out.json");
     let written: Vec<_> = Method::ALL.map(|method| series("x.y", method, points(&SIZES, |size| size))).into();
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn every_fault_of_a_bad_file_is_told_at_once() {
+fn all_errors_of_an_invalid_series_file_are_reported() {
     let folder = Folder::new("bad");
     let path = folder.write(
         "bad.json",
@@ -198,10 +198,10 @@
         ]"#,
     );
     let error = read_series(&path).unwrap_err();
-    let SlopesError::Faults { faults, .. } = &error else { panic!("{error}") };
-    let places: Vec<_> = faults.iter().map(|fault| fault.place.as_str()).collect();
+    let SlopesError::Invalid { faults, .. } = &error else { panic!("{error}") };
+    let locations: Vec<_> = faults.iter().map(|fault| fault.location.as_str()).collect();
     assert_eq!(
-        places,
+        locations,
         [
             "[0].name",
             "[0].method",
@@ -226,13 +226,13 @@
 }
 
 #[test]
-fn a_slopes_file_without_stamps_is_refused_and_so_is_no_json() {
+fn slopes_file_without_stamps_and_invalid_json_are_rejected() {
     let folder = Folder::new("stamps");
     let bare = r#"{"series": [{"name": "b", "unit": "B", "against": "n", "method": "real", "command": "c",
         "points": [{"size": 1, "value": 1, "seed": 1}]}], "more": 1}"#;
     let error = SlopesFile::load(&folder.write("bare.json", bare)).unwrap_err().to_string();
-    for place in ["the file.more", "series[0].date", "series[0].commit", "series[0].cores"] {
-        assert!(error.contains(place), "{place}: {error}");
+    for location in ["the file.more", "series[0].date", "series[0].commit", "series[0].cores"] {
+        assert!(error.contains(location), "{location}: {error}");
     }
     let error = SlopesFile::load(&folder.write("torn.json", "{\n\"series\": [")).unwrap_err().to_string();
     assert!(error.contains("torn.json: line 2"), "{error}");
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! `walkpick-lab capacity` as a program, and the page that is shipped.
+//! Tests of the command `walkpick-lab capacity` and of the shipped page.
 
 mod common;
 
@@ -26,16 +26,16 @@
 }
 
 #[test]
-fn the_shipped_page_agrees_with_the_shipped_plan_and_slopes() {
+fn shipped_page_matches_the_shipped_plan_and_slopes() {
     let checked = capacity(&[PLAN, "--slopes", SLOPES, "--check", PAGE]);
     assert_eq!(checked.status.code(), Some(0), "{}", out(&checked));
     let text = std::fs::read_to_string(root().join(SLOPES)).unwrap();
     let slopes = SlopesFile::load(&root().join(SLOPES)).unwrap();
-    assert_eq!(slopes.render().unwrap(), text, "the fits of the slopes file are those of its points");
+    assert_eq!(slopes.render().unwrap(), text, "the fits in the slopes file match its points");
 }
 
 #[test]
-fn a_page_that_differs_is_told_line_by_line_and_ends_with_1() {
+fn check_lists_differing_lines_and_exits_with_1() {
     let folder = Folder::new("differs");
     let page = std::fs::read_to_string(root().join(PAGE)).unwrap();
     let line = "| of a cache server | 3,636 |";
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn another_plan_gives_another_table() {
+fn tables_follow_the_number_of_nodes_of_the_plan() {
     let folder = Folder::new("other");
     let plan = std::fs::read_to_string(root().join(PLAN)).unwrap();
     std::fs::write(folder.path("2000.toml"), plan.replace("nodes = 530", "nodes = 2_000")).unwrap();
@@ -64,17 +64,17 @@
 }
 
 #[test]
-fn bad_plans_and_slopes_are_told_with_every_fault_and_end_with_2() {
+fn invalid_input_files_are_reported_and_exit_with_2() {
     let folder = Folder::new("bad");
     let plan = std::fs::read_to_string(root().join(PLAN)).unwrap();
     let bad = plan.replace("nodes = 530", "nodes = 0").replace("zones = 19", "zone = 19");
     std::fs::write(folder.path("bad.toml"), bad).unwrap();
     let shown = capacity(&[&folder.path("bad.toml")]);
     assert_eq!(shown.status.code(), Some(2), "{}", out(&shown));
-    for told in
+    for expected in
         ["bad.toml: line ", "fleet.nodes: found 0", "fleet.zone: found a name", "fleet.zones: found nothing"]
     {
-        assert!(out(&shown).contains(told), "{told}: {}", out(&shown));
+        assert!(out(&shown).contains(expected), "{expected}: {}", out(&shown));
     }
     std::fs::write(folder.path("bad.json"), "{\"series\": [{}]}").unwrap();
     let bad_slopes = [PLAN, "--slopes", &folder.path("bad.json")];
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_plot_is_written() {
+fn plot_is_written_as_svg() {
     let folder = Folder::new("plot");
     let drawn = capacity(&[PLAN, "--plot", &folder.path("need.svg")]);
     assert_eq!(drawn.status.code(), Some(0), "{}", out(&drawn));
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! `walkpick-lab slopes` as a program.
+//! Tests of the command `walkpick-lab slopes`.
 
 mod common;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn series_are_added_stamped_replaced_and_shown() {
+fn added_series_are_stamped_replaced_and_shown() {
     let folder = Folder::new("add");
     let slopes = folder.path("slopes.json");
     std::fs::write(folder.path("a.json"), one_series("a", 1.0)).unwrap();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn bad_series_leave_the_file_as_it_is_and_end_with_2() {
+fn invalid_series_leave_the_slopes_file_unchanged_and_exit_with_2() {
     let folder = Folder::new("bad");
     let slopes = folder.path("slopes.json");
     std::fs::write(folder.path("a.json"), one_series("a", 1.0)).unwrap();
