--- a/lab/src/scale/check.rs
+++ b/lab/src/scale/check.rs
@@ -1,7 +1,7 @@
 //! Checks on figures: bounds for every run, or a limit on the spread over all runs.
 
 use super::{FigureMeaning, ScaleRun, TableReader};
-use crate::experiment::Fault;
+use crate::experiment::Diagnostic;
 use serde::Serialize;
 
 /// A condition on a figure of the runs.
@@ -130,15 +130,15 @@
 }
 
 /// Reports names used by more than one check, as their outcomes would be indistinguishable.
-pub(super) fn duplicate_names(checks: &[toml::Value]) -> Vec<Fault> {
+pub(super) fn duplicate_names(checks: &[toml::Value]) -> Vec<Diagnostic> {
     let names: Vec<_> = checks.iter().map(|check| check.get("name").and_then(toml::Value::as_str)).collect();
-    let is_duplicate = |place: usize| names[place].is_some() && names[..place].contains(&names[place]);
-    let fault = |place: usize| Fault {
-        place: format!("check {}: name", place + 1),
-        what: format!(
+    let is_duplicate = |index: usize| names[index].is_some() && names[..index].contains(&names[index]);
+    let fault = |index: usize| Diagnostic {
+        location: format!("check {}: name", index + 1),
+        message: format!(
             "found \"{}\" a second time, expected a name of its own",
-            names[place].unwrap_or_default()
+            names[index].unwrap_or_default()
         ),
     };
-    (0..names.len()).filter(|place| is_duplicate(*place)).map(fault).collect()
+    (0..names.len()).filter(|index| is_duplicate(*index)).map(fault).collect()
 }
--- a/lab/src/scale/experiment.rs
+++ b/lab/src/scale/experiment.rs
@@ -4,7 +4,7 @@
 use super::{
     CheckOutcome, FigureMeaning, Kind, RunOptions, ScaleCheck, ScaleKind, ScaleRun, TableReader, KINDS,
 };
-use crate::experiment::{ExperimentError, Fault};
+use crate::experiment::{Diagnostic, ExperimentError};
 use std::error::Error;
 use std::path::Path;
 use toml::{Table, Value};
@@ -28,32 +28,34 @@
     pub fn load(path: &Path) -> Result<Option<Self>, ExperimentError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| ExperimentError::Unreadable { path: path.to_owned(), error })?;
-        Self::parse(&text).map_err(|faults| ExperimentError::Faulty { path: path.to_owned(), faults })
+        Self::parse(&text)
+            .map_err(|diagnostics| ExperimentError::Invalid { path: path.to_owned(), diagnostics })
     }
 
     /// Parses the content of a file, as [`Self::load`] does.
-    pub fn parse(text: &str) -> Result<Option<Self>, Vec<Fault>> {
+    pub fn parse(text: &str) -> Result<Option<Self>, Vec<Diagnostic>> {
         // Invalid TOML is left to the reader of the other type of experiment, which reports the line.
         let Ok(file) = text.parse::<Table>() else { return Ok(None) };
         let Some(kind) = KINDS.iter().find(|kind| file.contains_key(kind.table)) else { return Ok(None) };
-        let mut faults = Vec::new();
-        let experiment = Self::read(&file, kind, &mut faults);
+        let mut diagnostics = Vec::new();
+        let experiment = Self::read(&file, kind, &mut diagnostics);
         match experiment {
-            Some(experiment) if faults.is_empty() => Ok(Some(experiment)),
-            _ => Err(faults),
+            Some(experiment) if diagnostics.is_empty() => Ok(Some(experiment)),
+            _ => Err(diagnostics),
         }
     }
 
-    fn read(file: &Table, kind: &'static Kind, faults: &mut Vec<Fault>) -> Option<Self> {
-        let mut top = TableReader::new("", file, faults);
+    fn read(file: &Table, kind: &'static Kind, diagnostics: &mut Vec<Diagnostic>) -> Option<Self> {
+        let mut top = TableReader::new("", file, diagnostics);
         top.check_keys(&["name", "about", "check", kind.table]);
         let name = top.required("name", "a text");
         let about = top.required("about", "a text");
         let settings: Option<Table> = top.required(kind.table, "a table");
         let checks: Vec<Value> = top.optional("check", "[[check]] tables").unwrap_or_default();
-        let runner = settings.and_then(|table| (kind.read)(TableReader::new(kind.table, &table, faults)));
+        let runner =
+            settings.and_then(|table| (kind.read)(TableReader::new(kind.table, &table, diagnostics)));
         let groups = runner.as_ref().map(|runner| runner.groups());
-        let checks = read_checks(&checks, &(kind.figures)(), groups.as_deref(), faults);
+        let checks = read_checks(&checks, &(kind.figures)(), groups.as_deref(), diagnostics);
         Some(Self { name: name?, about: about?, kind, runner: runner?, checks })
     }
 
@@ -69,21 +71,25 @@
     checks: &[Value],
     figures: &[FigureMeaning],
     groups: Option<&[String]>,
-    faults: &mut Vec<Fault>,
+    diagnostics: &mut Vec<Diagnostic>,
 ) -> Vec<ScaleCheck> {
     let mut read = Vec::new();
-    for (place, check) in checks.iter().enumerate() {
-        let place = format!("check {}", place + 1);
+    for (index, check) in checks.iter().enumerate() {
+        let location = format!("check {}", index + 1);
         match check {
             Value::Table(table) => {
-                read.extend(ScaleCheck::read(TableReader::new(&place, table, faults), figures, groups));
+                read.extend(ScaleCheck::read(
+                    TableReader::new(&location, table, diagnostics),
+                    figures,
+                    groups,
+                ));
             }
             other => {
                 let what = format!("found {other}, expected a table");
-                faults.push(Fault { place, what });
+                diagnostics.push(Diagnostic { location, message: what });
             }
         }
     }
-    faults.extend(duplicate_names(checks));
+    diagnostics.extend(duplicate_names(checks));
     read
 }
--- a/lab/src/scale/reader.rs
+++ b/lab/src/scale/reader.rs
@@ -1,27 +1,27 @@
 //! Reads a TOML table value by value and collects all errors instead of stopping at the first.
 
-use crate::experiment::Fault;
+use crate::experiment::Diagnostic;
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 use toml::{Table, Value};
 
 /// Reads the values of one table and collects errors.
 pub struct TableReader<'a> {
-    place: String,
+    location: String,
     table: &'a Table,
-    faults: &'a mut Vec<Fault>,
-    faults_before: usize,
+    diagnostics: &'a mut Vec<Diagnostic>,
+    diagnostics_before: usize,
 }
 
 impl<'a> TableReader<'a> {
-    /// Creates a reader of `table`; `place` prefixes the location of errors.
-    pub fn new(place: &str, table: &'a Table, faults: &'a mut Vec<Fault>) -> Self {
-        Self { place: place.to_owned(), table, faults_before: faults.len(), faults }
+    /// Creates a reader of `table`; `location` prefixes the location of errors.
+    pub fn new(location: &str, table: &'a Table, diagnostics: &'a mut Vec<Diagnostic>) -> Self {
+        Self { location: location.to_owned(), table, diagnostics_before: diagnostics.len(), diagnostics }
     }
 
     /// Whether this reader has found no errors so far.
     pub fn is_valid(&self) -> bool {
-        self.faults.len() == self.faults_before
+        self.diagnostics.len() == self.diagnostics_before
     }
 
     /// Whether the table contains the key.
@@ -31,8 +31,10 @@
 
     /// Records an error.
     pub fn fault(&mut self, key: &str, found: &str, expected: &str) {
-        let place = if self.place.is_empty() { key.to_owned() } else { format!("{}: {key}", self.place) };
-        self.faults.push(Fault { place, what: format!("found {found}, expected {expected}") });
+        let location =
+            if self.location.is_empty() { key.to_owned() } else { format!("{}: {key}", self.location) };
+        self.diagnostics
+            .push(Diagnostic { location, message: format!("found {found}, expected {expected}") });
     }
 
     /// Records an error for every key that is not one of these.
--- a/src/peers/membership/engine.rs
+++ b/src/peers/membership/engine.rs
@@ -1,76 +1,76 @@
-//! What the engine asks for in one call, gathered; its notifications as typed changes.
+//! The effects that the engine requests during one call.
 
 use foca::{Foca, Notification, PostcardCodec, Runtime, Timer};
 use rand::rngs::SmallRng;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::farewells::Farewells;
+use super::leave_messages::LeaveMessages;
 use super::traffic::TrafficKind;
 use crate::peers::identity::Peer;
 
 /// The SWIM engine.
-pub(super) type Engine = Foca<Peer, PostcardCodec, SmallRng, Farewells>;
+pub(super) type Engine = Foca<Peer, PostcardCodec, SmallRng, LeaveMessages>;
 
 /// A message of the engine to a peer.
 pub(super) struct EngineMessage {
     pub to: SocketAddr,
     pub kind: TrafficKind,
-    /// The number of a probe that its reader answers itself.
+    /// The number of a direct probe, which its receiver answers itself.
     pub probe: Option<foca::ProbeNumber>,
-    /// Its reader is to probe another one.
-    pub asks_relay: bool,
+    /// It asks its receiver to probe another peer.
+    pub is_indirect_request: bool,
     pub payload: Vec<u8>,
 }
 
 impl EngineMessage {
-    /// A message that is no probe of the engine's own.
+    /// A message that is not tracked as a probe.
     pub fn new(to: SocketAddr, kind: TrafficKind, payload: Vec<u8>) -> Self {
-        Self { to, kind, probe: None, asks_relay: false, payload }
+        Self { to, kind, probe: None, is_indirect_request: false, payload }
     }
 }
 
-/// A change in who is there, as the engine tells it.
+/// A change of the members, as the engine reports it.
 pub(super) enum MemberChange {
     Up(Peer),
     Down(Peer),
-    /// An address has this identity in place of another one.
+    /// This identity replaces another one with the same address.
     Replaced(Peer),
 }
 
-/// What the engine asks for, as it comes.
+/// The requested effects, in order.
 #[derive(Default)]
 pub(super) struct EngineEffects {
     pub messages: Vec<EngineMessage>,
     pub timers: Vec<(Duration, Timer<Peer>)>,
     pub changes: Vec<MemberChange>,
-    /// Others had declared this process gone: it has another identity now.
+    /// Others had declared this process down; it has a new identity now.
     pub rejoined: bool,
-    /// The incarnation of this process, where a message told it.
+    /// The incarnation of this process, if a message carried it.
     pub incarnation: Option<foca::Incarnation>,
 }
 
 impl EngineEffects {
-    /// Whether anything changed in who is there.
+    /// Whether the members or the identity of this process changed.
     pub fn changes_members(&self) -> bool {
         !self.changes.is_empty() || self.rejoined
     }
 
-    /// Whom a probe that begins is for.
-    pub fn probed(&self) -> Option<&Peer> {
+    /// The peer that a new probe is sent to.
+    pub fn probe_target(&self) -> Option<&Peer> {
         self.timers.iter().find_map(|(_, timer)| match timer {
             Timer::SendIndirectProbe { probed_id, .. } => Some(probed_id),
             _ => None,
         })
     }
 
-    /// Whether a probe goes by way of relays.
-    pub fn asks_relays(&self) -> bool {
-        self.messages.iter().any(|message| message.asks_relay)
+    /// Whether indirect probes are requested.
+    pub fn requests_indirect_probe(&self) -> bool {
+        self.messages.iter().any(|message| message.is_indirect_request)
     }
 
     /// Whether a member went down.
-    pub fn takes_away(&self) -> bool {
+    pub fn removes_members(&self) -> bool {
         self.changes.iter().any(|change| matches!(change, MemberChange::Down(_)))
     }
 }
@@ -87,14 +87,14 @@
     }
 
     fn send_to(&mut self, to: Peer, data: &[u8]) {
-        // Every message begins with a header that the engine has just written.
+        // Every message begins with a header that the engine encoded.
         let header = postcard::take_from_bytes::<foca::Header<Peer>>(data);
         let mut message = EngineMessage::new(to.address, TrafficKind::Probe, data.to_vec());
         if let Ok((header, _)) = header {
             self.incarnation = Some(header.src_incarnation);
             message.kind = TrafficKind::of(&header.message);
             message.probe = probe_number(&header.message);
-            message.asks_relay = matches!(header.message, foca::Message::PingReq { .. });
+            message.is_indirect_request = matches!(header.message, foca::Message::PingReq { .. });
         }
         self.messages.push(message);
     }
--- a/src/peers/membership/receiving.rs
+++ b/src/peers/membership/receiving.rs
@@ -1,32 +1,32 @@
-//! Datagrams that come: what in them is news goes to the engine, the rest to the part that it is for.
+//! Handling of received datagrams: new member updates and messages go to the engine, extensions to repair.
 
 use foca::State;
 
 use super::admission::DropReason;
 use super::engine::EngineEffects;
 use super::inbound::{self, InboundMessage, MemberUpdate};
-use super::members::{Member, Word};
-use super::{Membership, MOST_PEERS};
-use crate::peers::envelope::{Envelope, Extension, EXTENSIONS_SINCE};
+use super::members::{Member, ReportedState};
+use super::{Membership, MAX_PEERS};
+use crate::peers::envelope::{Envelope, Extension, EXTENSIONS_MIN_SCHEMA};
 use crate::peers::{Micros, Output};
 
 impl Membership {
-    /// A datagram of this cluster has come.
+    /// Handles a received datagram of this cluster.
     pub fn receive(
         &mut self,
         now: Micros,
         envelope: &Envelope,
         out: &mut Vec<Output>,
     ) -> Result<(), DropReason> {
-        if envelope.schema >= EXTENSIONS_SINCE && envelope.payload.is_empty() {
-            return self.receive_without_engine(now, envelope, out);
+        if envelope.schema >= EXTENSIONS_MIN_SCHEMA && envelope.payload.is_empty() {
+            return self.receive_extensions(now, envelope, out);
         }
-        // Who sent it is in it: behind a relay or a mapping it comes from elsewhere.
+        // The sender is taken from the message: the source address of the datagram differs behind a proxy or a NAT.
         let message = InboundMessage::decode(envelope.payload).ok_or(DropReason::Malformed)?;
         let sender = message.header.src.address;
         let known = self.members.get(&sender).is_some();
-        if self.members.len() >= MOST_PEERS && !known {
-            return Err(DropReason::Crowd);
+        if self.members.len() >= MAX_PEERS && !known {
+            return Err(DropReason::TooManyPeers);
         }
         self.follow_change_rate(now);
         let schema = envelope.schema;
@@ -37,7 +37,7 @@
         handled
     }
 
-    /// Gives the engine the words on members that may be news to it, and then the message itself.
+    /// Gives the engine the member updates that may be new to it, and then the message itself.
     pub(super) fn hand_to_engine(
         &mut self,
         now: Micros,
@@ -46,26 +46,26 @@
         out: &mut Vec<Output>,
     ) -> Result<(), DropReason> {
         let source = &message.header.src;
-        let is_gone = |held: &Member| held.standing.is_gone() && !source.supersedes(&held.peer);
-        let sender_is_gone = self.members.get(&source.address).is_some_and(is_gone);
-        // The engine would not take them from one that it holds for gone, nor what was meant for another life.
-        let accepted = message.header.dst == *self.me() && !sender_is_gone;
+        let is_departed = |held: &Member| held.status.is_departed() && !source.supersedes(&held.peer);
+        let sender_has_departed = self.members.get(&source.address).is_some_and(is_departed);
+        // The engine ignores updates from a departed sender, and in a message to another identity of this process.
+        let accepted = message.header.dst == *self.local_peer() && !sender_has_departed;
         if accepted {
-            let word = Word { incarnation: message.header.src_incarnation, suspected: false };
-            self.suspicions_changed |= self.members.hear_word(source, word);
+            let report = ReportedState { incarnation: message.header.src_incarnation, suspected: false };
+            self.suspicions_changed |= self.members.record_report(source, report);
         }
-        // A list of members is news to its reader alone.
-        let pass_on = message.header.message != foca::Message::Feed;
-        let own = self.me().address;
+        // A member list is new only to its receiver, so its updates are not gossiped.
+        let gossip = message.header.message != foca::Message::Feed;
+        let own = self.local_peer().address;
         let updates = if accepted { std::mem::take(&mut message.updates) } else { Vec::new() };
-        let (of_me, of_others): (Vec<_>, Vec<_>) =
+        let (about_self, about_others): (Vec<_>, Vec<_>) =
             updates.into_iter().partition(|update| update.id().address == own);
-        // A word on this node goes first: the answer to the message clears it.
-        self.apply_updates(now, of_me, pass_on, out);
-        // One that was taken for gone has another identity since: whoever asks for the earlier one hears that from the
-        // answer. Without an answer it would suspect a living process.
-        if message.is_probe() && message.header.dst.is_earlier_identity_of(self.me()) {
-            message.readdress(self.me().clone());
+        // Updates about this node are applied first, so that the answer to the message refutes a suspicion.
+        self.apply_updates(now, about_self, gossip, out);
+        // A process that was declared down has a new identity. A prober of its earlier identity must get an answer, which
+        // carries the new one; otherwise it would suspect a living process.
+        if message.is_probe() && message.header.dst.is_earlier_identity_of(self.local_peer()) {
+            message.readdress(self.local_peer().clone());
         }
         if let foca::Message::Ack(number) = message.header.message {
             let source = &message.header.src;
@@ -74,40 +74,41 @@
         let payload = message.without_updates();
         let mut effects = EngineEffects::default();
         let handled = self.engine.handle_data(&payload, &mut effects);
-        let answers = std::mem::take(&mut effects.messages);
+        let responses = std::mem::take(&mut effects.messages);
         self.apply(now, effects, out);
-        // What is answered depends on what its reader reads.
-        self.members.heard(&message.header.src.address, schema);
-        self.send(now, answers, out);
-        // Farewells rode on the message: those that they are of are known for having left.
-        self.apply_updates(now, of_others, pass_on, out);
+        // How responses are sent depends on the envelope version of the sender.
+        self.members.set_schema(&message.header.src.address, schema);
+        self.send(now, responses, out);
+        // Other updates come last: leave messages in this message are known by now, so their peers count as left.
+        self.apply_updates(now, about_others, gossip, out);
         handled.map_err(|_| DropReason::Malformed)
     }
 
-    /// Gives the engine words that may be news. Those beyond what may wait to be passed on are left to repair.
+    /// Gives the engine updates that may be new to it. They are gossiped only while the gossip queue has room; beyond that,
+    /// spreading them is left to repair.
     pub(super) fn apply_updates(
         &mut self,
         now: Micros,
         updates: Vec<MemberUpdate>,
-        pass_on: bool,
+        gossip: bool,
         out: &mut Vec<Output>,
     ) {
         let mut effects = EngineEffects::default();
         for update in updates {
             let known = self.members.get(&update.id().address).is_some();
-            let room = known || self.members.len() < MOST_PEERS;
-            if room && inbound::is_news(&mut self.members, &update) {
+            let room = known || self.members.len() < MAX_PEERS;
+            if room && inbound::is_new_update(&mut self.members, &update) {
                 self.suspicions_changed |= update.state() != State::Down;
-                let pass_on = pass_on && self.engine.updates_backlog() < self.plan.backlog;
-                // Errors would be of its size alone.
-                let _ = self.engine.apply_many([update].into_iter(), pass_on, &mut effects);
+                let gossip = gossip && self.engine.updates_backlog() < self.gossip_plan.max_backlog;
+                // It only fails for an update that is too long, which cannot occur.
+                let _ = self.engine.apply_many([update].into_iter(), gossip, &mut effects);
             }
         }
         self.apply(now, effects, out);
     }
 
-    /// A datagram with extensions alone: it tells its sender's digest, where that one is present.
-    pub(super) fn receive_without_engine(
+    /// Handles a datagram that carries only extensions. It counts if its sender is present.
+    pub(super) fn receive_extensions(
         &mut self,
         now: Micros,
         envelope: &Envelope,
@@ -119,7 +120,7 @@
             return Ok(());
         }
         self.agreement.report(now, sender.address, envelope.digest);
-        self.members.heard(&sender.address, envelope.schema);
+        self.members.set_schema(&sender.address, envelope.schema);
         for extension in extensions {
             if let Extension::Repair(message) = extension {
                 self.receive_repair(now, sender.address, message, out);
