--- a/lab/src/scale/experiment.rs
+++ b/lab/src/scale/experiment.rs
@@ -1,6 +1,6 @@
-//! One file: its name, what it shows, its kind and its checks.
+//! A scale experiment file: name, description, settings of its kind and checks.
 
-use super::check::double_names;
+use super::check::duplicate_names;
 use super::{
     CheckOutcome, FigureMeaning, Kind, RunOptions, ScaleCheck, ScaleKind, ScaleRun, TableReader, KINDS,
 };
@@ -9,58 +9,59 @@
 use std::path::Path;
 use toml::{Table, Value};
 
-/// An experiment of scale.
+/// A scale experiment.
 pub struct ScaleExperiment {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// What it shows.
+    /// The description.
     pub about: String,
-    /// Its kind.
+    /// The kind.
     pub kind: &'static Kind,
-    /// What it does.
-    pub does: Box<dyn ScaleKind>,
-    /// What has to hold.
+    /// The configured experiment.
+    pub runner: Box<dyn ScaleKind>,
+    /// The conditions on its figures.
     pub checks: Vec<ScaleCheck>,
 }
 
 impl ScaleExperiment {
-    /// Reads a file; none where it has the table of no kind: it may be an experiment of the other sort.
+    /// Reads a file; `None` if it has no table of a known kind, as it may be another type of experiment.
     pub fn load(path: &Path) -> Result<Option<Self>, ExperimentError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| ExperimentError::Unreadable { path: path.to_owned(), error })?;
         Self::parse(&text)
-            .map_err(|faults| ExperimentError::Invalid { path: path.to_owned(), diagnostics: faults })
+            .map_err(|diagnostics| ExperimentError::Invalid { path: path.to_owned(), diagnostics })
     }
 
-    /// Reads a text.
+    /// Parses the content of a file, as [`Self::load`] does.
     pub fn parse(text: &str) -> Result<Option<Self>, Vec<Diagnostic>> {
-        // What is no TOML at all is told by the reader of the other sort, with its line.
+        // Invalid TOML is left to the reader of the other type of experiment, which reports the line.
         let Ok(file) = text.parse::<Table>() else { return Ok(None) };
         let Some(kind) = KINDS.iter().find(|kind| file.contains_key(kind.table)) else { return Ok(None) };
-        let mut faults = Vec::new();
-        let experiment = Self::read(&file, kind, &mut faults);
+        let mut diagnostics = Vec::new();
+        let experiment = Self::read(&file, kind, &mut diagnostics);
         match experiment {
-            Some(experiment) if faults.is_empty() => Ok(Some(experiment)),
-            _ => Err(faults),
+            Some(experiment) if diagnostics.is_empty() => Ok(Some(experiment)),
+            _ => Err(diagnostics),
         }
     }
 
-    fn read(file: &Table, kind: &'static Kind, faults: &mut Vec<Diagnostic>) -> Option<Self> {
-        let mut top = TableReader::new("", file, faults);
-        top.only(&["name", "about", "check", kind.table]);
+    fn read(file: &Table, kind: &'static Kind, diagnostics: &mut Vec<Diagnostic>) -> Option<Self> {
+        let mut top = TableReader::new("", file, diagnostics);
+        top.check_keys(&["name", "about", "check", kind.table]);
         let name = top.required("name", "a text");
         let about = top.required("about", "a text");
         let settings: Option<Table> = top.required(kind.table, "a table");
         let checks: Vec<Value> = top.optional("check", "[[check]] tables").unwrap_or_default();
-        let does = settings.and_then(|table| (kind.read)(TableReader::new(kind.table, &table, faults)));
-        let groups = does.as_ref().map(|does| does.groups());
-        let checks = read_checks(&checks, &(kind.figures)(), groups.as_deref(), faults);
-        Some(Self { name: name?, about: about?, kind, does: does?, checks })
+        let runner =
+            settings.and_then(|table| (kind.read)(TableReader::new(kind.table, &table, diagnostics)));
+        let groups = runner.as_ref().map(|runner| runner.groups());
+        let checks = read_checks(&checks, &(kind.figures)(), groups.as_deref(), diagnostics);
+        Some(Self { name: name?, about: about?, kind, runner: runner?, checks })
     }
 
-    /// Runs it, and holds its checks against the runs.
+    /// Runs the experiment and evaluates its checks.
     pub fn run(&self, options: &RunOptions) -> Result<(Vec<ScaleRun>, Vec<CheckOutcome>), Box<dyn Error>> {
-        let runs = self.does.run(options)?;
+        let runs = self.runner.run(options)?;
         let outcomes = self.checks.iter().flat_map(|check| check.judge(&runs)).collect();
         Ok((runs, outcomes))
     }
@@ -70,21 +71,25 @@
     checks: &[Value],
     figures: &[FigureMeaning],
     groups: Option<&[String]>,
-    faults: &mut Vec<Diagnostic>,
+    diagnostics: &mut Vec<Diagnostic>,
 ) -> Vec<ScaleCheck> {
     let mut read = Vec::new();
-    for (place, check) in checks.iter().enumerate() {
-        let place = format!("check {}", place + 1);
+    for (index, check) in checks.iter().enumerate() {
+        let location = format!("check {}", index + 1);
         match check {
             Value::Table(table) => {
-                read.extend(ScaleCheck::read(TableReader::new(&place, table, faults), figures, groups));
+                read.extend(ScaleCheck::read(
+                    TableReader::new(&location, table, diagnostics),
+                    figures,
+                    groups,
+                ));
             }
             other => {
                 let what = format!("found {other}, expected a table");
-                faults.push(Diagnostic { location: place, message: what });
+                diagnostics.push(Diagnostic { location, message: what });
             }
         }
     }
-    faults.extend(double_names(checks));
+    diagnostics.extend(duplicate_names(checks));
     read
 }
