--- a/lab/src/commands/hollow.rs
+++ b/lab/src/commands/hollow.rs
@@ -1,11 +1,11 @@
-//! `walkpick-lab hollow`: runs hollow nodes, told on the command line.
+//! `walkpick-lab hollow`: runs hollow nodes as configured on the command line.
 
 use crate::experiment::{Diagnostic, ExperimentError};
-use crate::hollow::play::{play_all, PlayOptions};
-use crate::hollow::process::{self, ProcessFault};
+use crate::hollow::batch::{run_all, BatchOptions};
+use crate::hollow::process::{self, ProcessError};
 use crate::hollow::run::HollowRun;
 use crate::hollow::series::series;
-use crate::hollow::settings::{FaultKind, Hollow, HollowFault, Publish, Wrong};
+use crate::hollow::settings::{FaultKind, Hollow, HollowFault, InvalidSetting, Publish};
 use crate::slopes::write_series;
 use clap::Args;
 use serde::Serialize;
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The arguments.
+/// Arguments of the command.
 #[derive(Debug, Args)]
 pub struct HollowArgs {
     /// Numbers of hollow nodes; each is run with each loss
@@ -26,97 +26,100 @@
     /// Complete nodes beside them, under load
     #[arg(long, default_value_t = 0)]
     complete: usize,
-    /// Parts of the datagrams that are lost
+    /// Fractions of datagrams lost
     #[arg(long, value_delimiter = ',', default_value = "0")]
     loss: Vec<f64>,
-    /// Over so many seconds nodes start
+    /// Seconds over which node starts are spread
     #[arg(long, default_value_t = 10.0)]
     start: f64,
-    /// Nodes have so many seconds to meet, from the first start on
+    /// Seconds from the first start within which nodes are to converge
     #[arg(long, default_value_t = 20.0)]
     meet: f64,
-    /// End as soon as they have met
+    /// End as soon as nodes have converged
     #[arg(long)]
     until_met: bool,
-    /// For so many seconds nothing happens after that
+    /// Seconds without events after that
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
-    /// What happens then, one after the other
+    /// Faults after that, one after the other
     #[arg(long, value_delimiter = ',')]
     fault: Vec<FaultKind>,
-    /// After the rest, publish so many entries a second, and a version of a state now and then
+    /// After the rest, publish this many log entries per second, and a state version at intervals
     #[arg(long)]
     purges: Option<u32>,
-    /// For so many seconds
+    /// Seconds of publishing
     #[arg(long, default_value_t = 60.0)]
     publish_seconds: f64,
-    /// Faults begin while entries flow, in place of after them
+    /// Begin faults during publishing rather than after it
     #[arg(long)]
     with_faults: bool,
     /// How long a region stays cut off
     #[arg(long, default_value = "30s", value_parser = humantime::parse_duration)]
     cut: Duration,
-    /// One way between opposite regions
+    /// One-way delay between the regions farthest apart
     #[arg(long, default_value = "200ms", value_parser = humantime::parse_duration)]
     farthest: Duration,
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, from that one on
+    /// Number of consecutive seeds
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// A run in which one in a hundred things came later than this, or one ten times as late, is void
+    /// A run is void if the 99th percentile of lateness exceeds this, or the maximum exceeds ten times this
     #[arg(long, default_value = "10ms", value_parser = humantime::parse_duration)]
     lateness: Duration,
-    /// Each node probes another one this often
+    /// Probe interval
     #[arg(long, default_value = "400ms", value_parser = humantime::parse_duration)]
     probe_every: Duration,
-    /// An answer that takes longer is asked for by way of others; at the most half of that
+    /// Timeout of a direct probe before indirect probes are sent; at most half of the probe interval
     #[arg(long, default_value = "180ms", value_parser = humantime::parse_duration)]
     probe_timeout: Duration,
-    /// The node's program, for complete nodes; the one beside this program where it is not given
+    /// Path of the node's program, for complete nodes; by default the one in the directory of this program
     #[arg(long)]
     node: Option<PathBuf>,
-    /// Where configurations and logs of complete nodes stay; where it is not given, they go with the run
+    /// Keep configurations and logs of complete nodes in this directory; by default they are removed after each run
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// Write all results here as JSON
+    /// Write all results to this file as JSON
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Write the figures here as series against the number of nodes, as JSON
+    /// Write the figures to this file as JSON series over the number of nodes
     #[arg(long)]
     series: Option<PathBuf>,
 }
 
-/// Results as JSON has them.
+/// The JSON output.
 #[derive(Debug, Serialize)]
-struct Written<'a> {
+struct JsonOutput<'a> {
     hollow: &'a Hollow,
     runs: &'a [HollowRun],
 }
 
-/// Carries out the command. `false`: a run is void or was ended early.
+/// Carries out the command. Returns `false` if a run is void or was stopped early.
 pub fn run(args: &HollowArgs) -> Result<bool, Box<dyn Error>> {
     let hollow = args.hollow()?;
-    let faults: Vec<_> = hollow.faults().into_iter().map(as_fault).collect();
-    if !faults.is_empty() {
-        return Err(ExperimentError::Invalid { path: "command line".into(), diagnostics: faults }.into());
+    let diagnostics: Vec<_> = hollow.validate().into_iter().map(to_diagnostic).collect();
+    if !diagnostics.is_empty() {
+        return Err(ExperimentError::Invalid { path: "command line".into(), diagnostics }.into());
     }
     let seeds = args.seed..args.seed.saturating_add(args.seeds);
-    let how = PlayOptions { seeds, node: args.node.clone(), logs: args.logs.clone() };
-    let runs = play_all(&hollow, &how)?;
+    let batch = BatchOptions { seeds, node: args.node.clone(), logs: args.logs.clone() };
+    let runs = run_all(&hollow, &batch)?;
     if let Some(path) = &args.json {
-        std::fs::write(path, serde_json::to_vec_pretty(&Written { hollow: &hollow, runs: &runs })?)?;
+        std::fs::write(path, serde_json::to_vec_pretty(&JsonOutput { hollow: &hollow, runs: &runs })?)?;
     }
     if let Some(path) = &args.series {
         write_series(path, &series(&runs, &command()))?;
     }
-    show(&mut io::stdout().lock(), &runs)?;
+    print_runs(&mut io::stdout().lock(), &runs)?;
     Ok(runs.iter().all(|run| run.void.is_none() && !run.interrupted))
 }
 
-fn as_fault(wrong: Wrong) -> Diagnostic {
-    Diagnostic { location: wrong.key, message: format!("found {}, expected {}", wrong.found, wrong.expected) }
+fn to_diagnostic(invalid: InvalidSetting) -> Diagnostic {
+    Diagnostic {
+        location: invalid.key,
+        message: format!("found {}, expected {}", invalid.found, invalid.expected),
+    }
 }
 
 impl HollowArgs {
@@ -156,22 +159,22 @@
     }
 }
 
-/// Becomes a hollow process of the lab that started it.
+/// Serves as a hollow process of the lab that started it.
 pub fn run_process() -> Result<bool, Box<dyn Error>> {
-    process::serve().map(|()| true).map_err(|error: ProcessFault| error.into())
+    process::serve().map(|()| true).map_err(|error: ProcessError| error.into())
 }
 
-/// The command that this process was started with, without its folder.
+/// The command line of this process, without the directory of the program.
 fn command() -> String {
-    let mut words: Vec<String> = std::env::args().collect();
-    if let Some(program) = words.first_mut() {
+    let mut arguments: Vec<String> = std::env::args().collect();
+    if let Some(program) = arguments.first_mut() {
         let name = Path::new(program).file_name().map(|name| name.to_string_lossy().into_owned());
         *program = name.unwrap_or_else(|| "walkpick-lab".to_owned());
     }
-    words.join(" ")
+    arguments.join(" ")
 }
 
-fn show(out: &mut impl Write, runs: &[HollowRun]) -> io::Result<()> {
+fn print_runs(out: &mut impl Write, runs: &[HollowRun]) -> io::Result<()> {
     for run in runs {
         let HollowRun { nodes, complete, loss, seed, .. } = run;
         writeln!(out, "{nodes} hollow and {complete} complete nodes, loss {loss}, seed {seed}")?;
--- a/lab/src/hollow/children.rs
+++ b/lab/src/hollow/children.rs
@@ -1,6 +1,7 @@
-//! The lab's side of its hollow processes: started under its hold, told what to do, heard, ended with it.
+//! The lab's side of hollow processes: starts them as child processes that end with the lab, sends them messages and
+//! receives theirs.
 
-use super::protocol::{Begin, FromProcess, NodeToOpen, Report, ToProcess, ViewsOfProcess};
+use super::protocol::{Begin, FromProcess, NodeToOpen, ProcessViews, Report, ToProcess};
 use crate::real::process::{start_held, ProcessError};
 use std::io;
 use std::net::SocketAddr;
@@ -13,52 +14,55 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A process has this long to open its sockets.
-const OPEN: Duration = Duration::from_secs(30);
-/// Words of processes that wait to be heard.
-const WAITING: usize = 1_024;
-/// A process that has told everything has this long to end.
-const END: Duration = Duration::from_secs(10);
+/// Time limit for a process to open its sockets.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(30);
+/// Capacity of the channel of received messages.
+const MAX_QUEUED_MESSAGES: usize = 1_024;
+/// Time limit for a process to exit after its report.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What went wrong with a hollow process.
+/// Failure of a hollow process.
 #[derive(Debug, Error)]
 pub enum ChildError {
-    /// It cannot be started.
+    /// The process could not be started.
     #[error(transparent)]
     Start(#[from] ProcessError),
-    /// It ended before it had told everything.
-    #[error("hollow process {process} ended before it had told everything: {how}")]
+    /// The process ended before it sent its report.
+    #[error("hollow process {process} ended before it had told everything: {reason}")]
     Ended {
-        /// Which one.
+        /// Number of the process.
         process: usize,
-        /// How, as far as that is known.
-        how: String,
+        /// Exit status or read error, as far as known.
+        reason: String,
     },
-    /// It said what nobody understands.
-    #[error("a word of hollow process {process} cannot be read: {error}")]
-    Unreadable {
-        /// Which one.
+    /// A message could not be encoded or decoded.
+    #[error("cannot encode or decode a message of hollow process {process}: {error}")]
+    Json {
+        /// Number of the process.
         process: usize,
-        /// Why.
+        /// The JSON error.
         error: serde_json::Error,
     },
-    /// It cannot be told something.
-    #[error("hollow process {process} cannot be told anything: {error}")]
-    Deaf {
-        /// Which one.
+    /// Writing to the process failed.
+    #[error("cannot write to hollow process {process}: {error}")]
+    Write {
+        /// Number of the process.
         process: usize,
-        /// Why.
+        /// The I/O error.
         error: io::Error,
     },
-    /// It did not open its sockets in time.
-    #[error("hollow process {process} did not open its sockets within {}", humantime::format_duration(OPEN))]
-    Slow {
-        /// Which one.
+    /// The process did not open its sockets in time.
+    #[error(
+        "hollow process {process} did not open its sockets within {}",
+        humantime::format_duration(OPEN_TIMEOUT)
+    )]
+    OpenTimeout {
+        /// Number of the process.
         process: usize,
     },
 }
 
-/// A hollow process. Dropped, it is killed.
+/// A hollow process. It is killed when dropped.
 pub struct HollowProcess {
     process: usize,
     child: Child,
@@ -66,19 +70,19 @@
     lines: Lines<BufReader<ChildStdout>>,
 }
 
-/// What a process told, and which one.
-pub struct Heard {
-    /// Which one.
+/// A message or a failure of a process.
+pub struct ProcessEvent {
+    /// Number of the process.
     pub process: usize,
-    /// What.
-    pub what: Result<What, ChildError>,
+    /// The message, or why none can follow.
+    pub message: Result<ProcessMessage, ChildError>,
 }
 
-/// What a process told.
-pub enum What {
-    /// What its nodes see.
-    Views(ViewsOfProcess),
-    /// All that it measured; it has ended.
+/// A message of a running process.
+pub enum ProcessMessage {
+    /// Views of its nodes.
+    Views(ProcessViews),
+    /// All measurements; the process has ended.
     Report(Box<Report>),
 }
 
@@ -88,77 +92,80 @@
         let mut child = start_held(lab, lab, &["hollow-process"])?;
         let (input, output) = (child.stdin.take(), child.stdout.take());
         let Some(output) = output else {
-            return Err(ChildError::Ended { process, how: "it has no output".to_owned() });
+            return Err(ChildError::Ended {
+                process,
+                reason: "its standard output is not connected".to_owned(),
+            });
         };
         Ok(Self { process, child, input, lines: BufReader::new(output).lines() })
     }
 
-    /// Its id.
+    /// The process id.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Has it open its nodes' sockets; where they are reached.
+    /// Opens the sockets of these nodes; returns their addresses.
     pub async fn open(&mut self, nodes: Vec<NodeToOpen>) -> Result<Vec<SocketAddr>, ChildError> {
-        self.tell(&ToProcess::Open { nodes }).await?;
+        self.send(&ToProcess::Open { nodes }).await?;
         let process = self.process;
-        match timeout(OPEN, self.hear()).await {
-            Err(_) => Err(ChildError::Slow { process }),
+        match timeout(OPEN_TIMEOUT, self.receive()).await {
+            Err(_) => Err(ChildError::OpenTimeout { process }),
             Ok(Ok(FromProcess::Opened { addresses })) => Ok(addresses),
-            Ok(Ok(_)) => {
-                Err(ChildError::Ended { process, how: "it told something else than addresses".to_owned() })
-            }
+            Ok(Ok(_)) => Err(ChildError::Ended {
+                process,
+                reason: "it sent another message than its addresses".to_owned(),
+            }),
             Ok(Err(error)) => Err(error),
         }
     }
 
-    /// Has it begin.
+    /// Starts the run.
     pub async fn begin(&mut self, begin: Begin) -> Result<(), ChildError> {
-        self.tell(&ToProcess::Begin(Box::new(begin))).await
+        self.send(&ToProcess::Begin(Box::new(begin))).await
     }
 
-    async fn tell(&mut self, message: &ToProcess) -> Result<(), ChildError> {
+    async fn send(&mut self, message: &ToProcess) -> Result<(), ChildError> {
         let process = self.process;
-        let mut line =
-            serde_json::to_vec(message).map_err(|error| ChildError::Unreadable { process, error })?;
+        let mut line = serde_json::to_vec(message).map_err(|error| ChildError::Json { process, error })?;
         line.push(b'\n');
-        write(&mut self.input, &line).await.map_err(|error| ChildError::Deaf { process, error })
+        write(&mut self.input, &line).await.map_err(|error| ChildError::Write { process, error })
     }
 
-    async fn hear(&mut self) -> Result<FromProcess, ChildError> {
+    async fn receive(&mut self) -> Result<FromProcess, ChildError> {
         let process = self.process;
         match self.lines.next_line().await {
             Ok(Some(line)) => {
-                serde_json::from_str(&line).map_err(|error| ChildError::Unreadable { process, error })
+                serde_json::from_str(&line).map_err(|error| ChildError::Json { process, error })
             }
-            Ok(None) => Err(ChildError::Ended { process, how: self.how_it_ended().await }),
-            Err(error) => Err(ChildError::Ended { process, how: error.to_string() }),
+            Ok(None) => Err(ChildError::Ended { process, reason: self.exit_status().await }),
+            Err(error) => Err(ChildError::Ended { process, reason: error.to_string() }),
         }
     }
 
-    async fn how_it_ended(&mut self) -> String {
-        match timeout(END, self.child.wait()).await {
+    async fn exit_status(&mut self) -> String {
+        match timeout(EXIT_TIMEOUT, self.child.wait()).await {
             Ok(Ok(status)) => status.to_string(),
             Ok(Err(error)) => error.to_string(),
-            Err(_) => "it says nothing more and does not end".to_owned(),
+            Err(_) => "it closed its output but did not exit".to_owned(),
         }
     }
 
-    /// Hears all that it tells, up to its report or its end.
-    async fn listen(mut self, heard: mpsc::Sender<Heard>) {
+    /// Forwards all messages of the process until its report or its end.
+    async fn forward_messages(mut self, messages: mpsc::Sender<ProcessEvent>) {
         loop {
-            let (over, what) = match self.hear().await {
-                Ok(FromProcess::Views(views)) => (false, Ok(What::Views(views))),
+            let (is_last, message) = match self.receive().await {
+                Ok(FromProcess::Views(views)) => (false, Ok(ProcessMessage::Views(views))),
                 Ok(FromProcess::Report(report)) => {
-                    // It has nothing more to say; dropped, it would be killed.
-                    let _ = self.how_it_ended().await;
-                    (true, Ok(What::Report(report)))
+                    // Waits for the exit, because dropping the process would kill it.
+                    let _ = self.exit_status().await;
+                    (true, Ok(ProcessMessage::Report(report)))
                 }
-                // Its sockets are open: said already.
+                // The addresses were received before.
                 Ok(FromProcess::Opened { .. }) => continue,
                 Err(error) => (true, Err(error)),
             };
-            if heard.send(Heard { process: self.process, what }).await.is_err() || over {
+            if messages.send(ProcessEvent { process: self.process, message }).await.is_err() || is_last {
                 return;
             }
         }
@@ -171,34 +178,34 @@
     input.flush().await
 }
 
-/// Processes that run and are heard. Dropped, they end.
-pub struct Listening {
+/// Running processes and their messages. The processes end when it is dropped.
+pub struct ProcessGroup {
     inputs: Vec<Option<ChildStdin>>,
-    heard: mpsc::Receiver<Heard>,
+    messages: mpsc::Receiver<ProcessEvent>,
 }
 
-impl Listening {
-    /// Hears all processes at once.
-    pub fn to(mut processes: Vec<HollowProcess>) -> Self {
-        let (sender, heard) = mpsc::channel(WAITING);
+impl ProcessGroup {
+    /// Receives from all processes at once.
+    pub fn new(mut processes: Vec<HollowProcess>) -> Self {
+        let (sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let inputs = processes.iter_mut().map(|process| process.input.take()).collect();
         for process in processes {
-            spawn_local(process.listen(sender.clone()));
+            spawn_local(process.forward_messages(sender.clone()));
         }
-        Self { inputs, heard }
+        Self { inputs, messages }
     }
 
-    /// What comes next; none once all have ended.
-    pub async fn next(&mut self) -> Option<Heard> {
-        self.heard.recv().await
+    /// The next message; `None` once all processes have ended.
+    pub async fn next(&mut self) -> Option<ProcessEvent> {
+        self.messages.recv().await
     }
 
-    /// Has them tell what they measured up to now, and end.
+    /// Asks all processes to send what they have measured so far and to end.
     pub async fn end(&mut self) {
         let Ok(mut line) = serde_json::to_vec(&ToProcess::End) else { return };
         line.push(b'\n');
         for input in &mut self.inputs {
-            // One that is gone says so itself.
+            // A process that has ended is reported by its own message.
             let _ = write(input, &line).await;
         }
     }
--- a/lab/src/hollow/clock.rs
+++ b/lab/src/hollow/clock.rs
@@ -1,4 +1,4 @@
-//! The machine's monotonic clock, which all processes of a run share, and the time of a run on it.
+//! The machine's monotonic clock, which all processes of a run share, and run time on that clock.
 
 use super::protocol::Micros;
 use nix::time::{clock_gettime, ClockId};
@@ -6,43 +6,43 @@
 use tokio::time::Instant;
 
 /// Microseconds of the machine's monotonic clock.
-pub fn monotonic() -> u64 {
-    micros_of(ClockId::CLOCK_MONOTONIC)
+pub fn monotonic_us() -> u64 {
+    clock_us(ClockId::CLOCK_MONOTONIC)
 }
 
-/// Microseconds of processor time that this process has used.
-pub fn processor() -> u64 {
-    micros_of(ClockId::CLOCK_PROCESS_CPUTIME_ID)
+/// CPU time of this process, in microseconds.
+pub fn cpu_time_us() -> u64 {
+    clock_us(ClockId::CLOCK_PROCESS_CPUTIME_ID)
 }
 
-fn micros_of(clock: ClockId) -> u64 {
-    // The system refuses clocks alone that it does not have, and has these.
+fn clock_us(clock: ClockId) -> u64 {
+    // The system call fails only for unsupported clocks; both of these are supported.
     let time = clock_gettime(clock).map(Duration::from).unwrap_or_default();
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// The time of a run: microseconds since its origin.
+/// Run time: microseconds since the origin of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    origin: u64,
+    origin_us: u64,
     instant: Instant,
-    instant_is: u64,
+    instant_us: u64,
 }
 
 impl Clock {
-    /// Of a run with this origin on the machine's clock.
+    /// Creates a clock for a run with this origin on the monotonic clock.
     pub fn new(origin: u64) -> Self {
-        Self { origin, instant: Instant::now(), instant_is: monotonic() }
+        Self { origin_us: origin, instant: Instant::now(), instant_us: monotonic_us() }
     }
 
-    /// The time of the run; zero before its origin.
+    /// Current run time; zero before the origin.
     pub fn now(&self) -> Micros {
-        monotonic().saturating_sub(self.origin)
+        monotonic_us().saturating_sub(self.origin_us)
     }
 
-    /// The moment of a time of the run.
-    pub fn moment(&self, at: Micros) -> Instant {
-        let since = self.origin.saturating_add(at).saturating_sub(self.instant_is);
+    /// Converts run time to an instant of the async runtime.
+    pub fn instant_at(&self, at: Micros) -> Instant {
+        let since = self.origin_us.saturating_add(at).saturating_sub(self.instant_us);
         self.instant + Duration::from_micros(since)
     }
 }
--- a/lab/src/hollow/complete.rs
+++ b/lab/src/hollow/complete.rs
@@ -1,8 +1,8 @@
-//! Complete nodes beside the hollow ones: real processes with servers, discovery and clients of their own, as the lab's
-//! experiments on real nodes have them, in a thread of their own.
+//! Complete nodes beside the hollow ones: real processes with their own servers, discovery and clients, run by the
+//! driver of experiments on real nodes in a separate thread.
 
 use super::clock;
-use super::protocol::{CompleteAddresses, Life, Micros, Numbered, Reset};
+use super::protocol::{CompleteAddresses, Incarnation, Micros, Reset, TimedSequence};
 use crate::experiment::{
     Arm, Deployment, Direction, Driver, Experiment, FaultKind, LinkFault, Load, RemoteKind, ScheduledFault,
 };
@@ -21,76 +21,79 @@
 use tokio::time::timeout;
 use walkpick::peers::Location;
 
-/// Before that nothing counts for the complete nodes.
-const LEAD: Duration = Duration::from_secs(5);
-/// They go on for so long after the hollow ones have ended, so that nobody misses them before.
-const LONGER: Duration = Duration::from_secs(2);
-/// Their links have this long to be laid.
-const LAID: Duration = Duration::from_secs(30);
+/// Warm-up during which the complete nodes' results do not count.
+const WARM_UP: Duration = Duration::from_secs(5);
+/// Complete nodes run this much longer than the hollow ones, so that no hollow node sees them leave.
+const EXTRA_RUN_TIME: Duration = Duration::from_secs(2);
+/// Time limit for the network links of the complete nodes.
+const LINK_TIMEOUT: Duration = Duration::from_secs(30);
 /// Servers for each complete node.
-const SERVERS: u32 = 2;
-/// Work asked of them, as a part of what the servers can do.
-const LOAD: f64 = 0.2;
-/// The arm's name, in results.
-const ARM: &str = "beside-hollow";
+const SERVERS_PER_NODE: u32 = 2;
+/// Load as a fraction of the servers' capacity.
+const LOAD_SHARE: f64 = 0.2;
+/// Name of the arm in results.
+const ARM_NAME: &str = "beside-hollow";
 
-/// Why there are no complete nodes.
+/// Failure of the complete nodes.
 #[derive(Debug, Error)]
 pub enum CompleteError {
-    /// Their run came to nothing.
-    #[error("the complete nodes: {0}")]
+    /// Their run failed.
+    #[error("complete nodes failed: {0}")]
     Run(#[from] RealError),
-    /// They were not there in time.
-    #[error("the complete nodes' links were not laid within {}", humantime::format_duration(LAID))]
-    Late,
-    /// Their thread failed.
-    #[error("the complete nodes' thread failed")]
+    /// Their network links were not set up in time.
+    #[error(
+        "the complete nodes' network links were not set up within {}",
+        humantime::format_duration(LINK_TIMEOUT)
+    )]
+    LinkTimeout,
+    /// Their thread panicked.
+    #[error("the thread of the complete nodes panicked")]
     Thread,
 }
 
-/// How complete nodes are run.
+/// Settings of the complete nodes' run.
 #[derive(Clone, Debug)]
 pub struct CompleteOptions {
-    /// The node's program.
+    /// Path of the node's program.
     pub program: PathBuf,
-    /// The lab's own.
+    /// Path of the lab's program.
     pub lab: PathBuf,
-    /// Where configurations and logs go.
+    /// Directory of configurations and logs.
     pub folder: PathBuf,
     /// See [`Options::lateness`].
     pub lateness: Duration,
-    /// Where they run.
+    /// Location of all complete nodes.
     pub location: Location,
-    /// How often they probe.
+    /// Probe interval.
     pub probe_every: Duration,
-    /// How long they wait for an answer.
+    /// Probe timeout.
     pub probe_timeout: Duration,
     /// Whether they take part in dissemination.
     pub dissemination: bool,
 }
 
-/// Complete nodes that run.
+/// Running complete nodes.
 pub struct Complete {
     thread: JoinHandle<Result<Run, RealError>>,
     folder: PathBuf,
     nodes: usize,
-    /// Where they are.
+    /// Addresses of each node.
     pub addresses: Vec<CompleteAddresses>,
 }
 
-/// What became of them.
+/// Result of the complete nodes' run.
 #[derive(Debug)]
-pub struct CompleteEnd {
+pub struct CompleteResult {
     /// Their own run, judged.
     pub run: Run,
-    /// The fewest nodes that one of them relied on at the most.
-    pub see: Option<u32>,
-    /// What came to each of publishers' logs and states.
-    pub received: Vec<Life>,
+    /// The largest number of nodes that each complete node counted in its view; the minimum over the complete nodes.
+    pub min_nodes_seen: Option<u32>,
+    /// What each of them received of publishers' logs and states.
+    pub received: Vec<Incarnation>,
 }
 
 impl Complete {
-    /// Starts so many, for as long as a run of hollow nodes takes.
+    /// Starts this many complete nodes for the length of a run of hollow nodes.
     pub async fn start(
         nodes: usize,
         length: Micros,
@@ -100,7 +103,7 @@
         options: CompleteOptions,
         stop: Arc<AtomicBool>,
     ) -> Result<Self, CompleteError> {
-        let (sender, mut told) = mpsc::channel(1);
+        let (sender, mut addresses) = mpsc::channel(1);
         let folder = options.folder.clone();
         let CompleteOptions {
             program,
@@ -115,14 +118,15 @@
         let company =
             Some(Company { seeds, location, probe_every, probe_timeout, dissemination, nodes: sender });
         let options = Options { program, lab, folder: folder.clone(), lateness, company };
-        let experiment = experiment(nodes, Duration::from_micros(length), loss);
+        let experiment = build_experiment(nodes, Duration::from_micros(length), loss);
         let arm = Arm { peers: true, ..Arm::default() };
-        let thread =
-            std::thread::spawn(move || real::run(&experiment, ARM, &arm, seed, &options, &stop, &|_| ()));
-        // The channel closes where the run came to nothing.
-        match timeout(LAID, told.recv()).await {
-            Ok(Some(reached)) => {
-                let addresses = reached
+        let thread = std::thread::spawn(move || {
+            real::run(&experiment, ARM_NAME, &arm, seed, &options, &stop, &|_| ())
+        });
+        // The channel closes if the run failed.
+        match timeout(LINK_TIMEOUT, addresses.recv()).await {
+            Ok(Some(links)) => {
+                let addresses = links
                     .into_iter()
                     .map(|node| CompleteAddresses { advertise: node.advertise, source: node.source });
                 Ok(Self { addresses: addresses.collect(), thread, folder, nodes })
@@ -131,25 +135,26 @@
                 Ok(Err(error)) => Err(error.into()),
                 _ => Err(CompleteError::Thread),
             },
-            Err(_) => Err(CompleteError::Late),
+            Err(_) => Err(CompleteError::LinkTimeout),
         }
     }
 
-    /// Waits for their end. `origin`: of the hollow nodes' run.
-    pub fn end(self, origin: u64) -> Result<CompleteEnd, CompleteError> {
+    /// Waits for the end of the run. `origin`: origin of the hollow nodes' run.
+    pub fn join(self, origin: u64) -> Result<CompleteResult, CompleteError> {
         let run = self.thread.join().map_err(|_| CompleteError::Thread)??;
         let logs = (0..self.nodes).map(|node| read_log(&self.folder.join(format!("n{node}.log"))));
         let logs: Vec<_> = logs.collect();
-        let see = logs.iter().map(|lines| lines.iter().filter_map(|line| line.nodes).max()).min().flatten();
-        let begun = unix_of(origin);
-        let received = logs.iter().map(|lines| received(lines, begun)).collect();
-        Ok(CompleteEnd { run, see, received })
+        let min_nodes_seen =
+            logs.iter().map(|lines| lines.iter().filter_map(|line| line.nodes).max()).min().flatten();
+        let origin_us = unix_time_us(origin);
+        let received = logs.iter().map(|lines| received(lines, origin_us)).collect();
+        Ok(CompleteResult { run, min_nodes_seen, received })
     }
 }
 
-fn experiment(nodes: usize, length: Duration, loss: f64) -> Experiment {
-    let length = (length + LONGER).saturating_sub(LEAD).max(Duration::from_secs(1));
-    // Between complete nodes datagrams are lost as everywhere.
+fn build_experiment(nodes: usize, length: Duration, loss: f64) -> Experiment {
+    let length = (length + EXTRA_RUN_TIME).saturating_sub(WARM_UP).max(Duration::from_secs(1));
+    // Datagrams between complete nodes are lost at the same rate as all others.
     let link = LinkFault { to: RemoteKind::Peer, direction: Direction::Both, loss, ..LinkFault::default() };
     let lossy = ScheduledFault {
         what: FaultKind::Link,
@@ -164,24 +169,24 @@
         name: "hollow".to_owned(),
         about: "complete nodes beside hollow ones".to_owned(),
         length,
-        lead: LEAD,
+        lead: WARM_UP,
         driver: Driver::Real,
         deployment: Deployment {
             nodes: nodes as u32,
-            servers: SERVERS * nodes as u32,
+            servers: SERVERS_PER_NODE * nodes as u32,
             zones: 2.min(nodes as u32),
             ..Deployment::default()
         },
-        load: Load { share: LOAD, ..Load::default() },
+        load: Load { share: LOAD_SHARE, ..Load::default() },
         fault: if loss > 0.0 { vec![lossy] } else { Vec::new() },
         arm: BTreeMap::new(),
         check: Vec::new(),
     }
 }
 
-/// A line of a node's log on its peers.
+/// A line of a node's log with the target `peers`.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct PeersLogLine {
     timestamp: String,
     target: String,
     nodes: Option<u32>,
@@ -191,33 +196,33 @@
     through: Option<u64>,
 }
 
-fn read_log(log: &Path) -> Vec<Line> {
+fn read_log(log: &Path) -> Vec<PeersLogLine> {
     let text = std::fs::read_to_string(log).unwrap_or_default();
-    let lines = text.lines().filter_map(|line| serde_json::from_str::<Line>(line).ok());
+    let lines = text.lines().filter_map(|line| serde_json::from_str::<PeersLogLine>(line).ok());
     lines.filter(|line| line.target == "peers").collect()
 }
 
-/// Unix time at a time of the machine's monotonic clock, in microseconds.
-fn unix_of(monotonic: u64) -> u64 {
+/// Converts a time of the monotonic clock to Unix time, in microseconds.
+fn unix_time_us(monotonic_us: u64) -> u64 {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let unix = u64::try_from(unix.as_micros()).unwrap_or(u64::MAX);
-    unix.saturating_sub(clock::monotonic()).saturating_add(monotonic)
+    unix.saturating_sub(clock::monotonic_us()).saturating_add(monotonic_us)
 }
 
-/// What came to a node, by its log. `begun`: the run's origin in Unix time.
-fn received(lines: &[Line], begun: u64) -> Life {
-    let mut life = Life::default();
+/// What a node received, according to its log. `origin_us`: the run's origin in Unix time.
+fn received(lines: &[PeersLogLine], origin_us: u64) -> Incarnation {
+    let mut incarnation = Incarnation::default();
     for line in lines {
-        let Some(at) = time_of(line, begun) else { continue };
-        life.entries.extend(line.sequence.map(|number| Numbered { number, at }));
-        life.versions.extend(line.version.map(|number| Numbered { number, at }));
-        let left_out = line.after.zip(line.through);
-        life.resets.extend(left_out.map(|(after, through)| Reset { at, after, through }));
+        let Some(at) = run_time(line, origin_us) else { continue };
+        incarnation.entries.extend(line.sequence.map(|number| TimedSequence { number, at }));
+        incarnation.versions.extend(line.version.map(|number| TimedSequence { number, at }));
+        let skipped = line.after.zip(line.through);
+        incarnation.resets.extend(skipped.map(|(after, through)| Reset { at, after, through }));
     }
-    life
+    incarnation
 }
 
-fn time_of(line: &Line, begun: u64) -> Option<Micros> {
+fn run_time(line: &PeersLogLine, origin_us: u64) -> Option<Micros> {
     let unix = humantime::parse_rfc3339(&line.timestamp).ok()?.duration_since(UNIX_EPOCH).ok()?;
-    Some(u64::try_from(unix.as_micros()).ok()?.saturating_sub(begun))
+    Some(u64::try_from(unix.as_micros()).ok()?.saturating_sub(origin_us))
 }
--- a/lab/src/hollow/deliveries/tests.rs
+++ b/lab/src/hollow/deliveries/tests.rs
@@ -3,7 +3,7 @@
 use crate::hollow::settings::{FaultKind, Hollow, HollowFault, Publish};
 use std::time::Duration;
 
-const RESTED: Micros = 20 * SECOND;
+const PUBLISH_START: Micros = 20 * SECOND;
 
 fn schedule(faults: &[FaultKind]) -> Schedule {
     let second = Duration::from_secs(1);
@@ -18,129 +18,132 @@
     Schedule::new(&hollow, 4)
 }
 
-fn numbered(number: u64, at_ms: Micros) -> Numbered {
-    Numbered { number, at: RESTED + at_ms * 1_000 }
+fn sequence_at(number: u64, at_ms: Micros) -> TimedSequence {
+    TimedSequence { number, at: PUBLISH_START + at_ms * 1_000 }
 }
 
-/// Three entries, a second apart.
+/// Three entries, one second apart.
 fn published() -> Published {
-    let entries = (1..=3).map(|number| numbered(number, number * 1_000)).collect();
-    Published { entries, versions: vec![numbered(1, 1_000)], ..Published::default() }
+    let entries = (1..=3).map(|number| sequence_at(number, number * 1_000)).collect();
+    Published { entries, versions: vec![sequence_at(1, 1_000)], ..Published::default() }
 }
 
-/// A life to which every entry came after so many milliseconds.
-fn life(after_ms: Micros) -> Life {
-    let entries = (1..=3).map(|number| numbered(number, number * 1_000 + after_ms)).collect();
-    Life { entries, versions: vec![numbered(1, 1_000 + after_ms)], ..Life::default() }
+/// An incarnation that received every entry this many milliseconds after it was published.
+fn incarnation(after_ms: Micros) -> Incarnation {
+    let entries = (1..=3).map(|number| sequence_at(number, number * 1_000 + after_ms)).collect();
+    Incarnation { entries, versions: vec![sequence_at(1, 1_000 + after_ms)], ..Incarnation::default() }
 }
 
-fn told(lives: Vec<Vec<Life>>, published: Published) -> Told {
-    let report = |(node, lives)| NodeReport { node, lives, ..NodeReport::default() };
-    let nodes: Vec<_> = lives.into_iter().enumerate().map(report).collect();
+fn data(incarnations: Vec<Vec<Incarnation>>, published: Published) -> RunData {
+    let report = |(node, incarnations)| NodeReport { node, incarnations, ..NodeReport::default() };
+    let nodes: Vec<_> = incarnations.into_iter().enumerate().map(report).collect();
     let reports = vec![Report { nodes, published, ..Report::default() }];
-    Told { nodes: 4, reports, ..Told::default() }
+    RunData { nodes: 4, reports, ..RunData::default() }
 }
 
-fn figures_of(faults: &[FaultKind], told: &Told, complete: &[Life]) -> BTreeMap<String, f64> {
-    delivery_figures(&schedule(faults), told, complete.iter())
+fn figures_of(faults: &[FaultKind], data: &RunData, complete: &[Incarnation]) -> BTreeMap<String, f64> {
+    delivery_figures(&schedule(faults), data, complete.iter())
 }
 
-fn steady(after_ms: [Micros; 4]) -> Vec<Vec<Life>> {
-    after_ms.iter().map(|after| vec![life(*after)]).collect()
+fn one_incarnation_each(after_ms: [Micros; 4]) -> Vec<Vec<Incarnation>> {
+    after_ms.iter().map(|after| vec![incarnation(*after)]).collect()
 }
 
 #[test]
-fn the_largest_time_is_that_of_the_latest_node_complete_ones_among_them() {
-    let told = told(steady([100, 200, 300, 0]), published());
-    let figures = figures_of(&[], &told, &[]);
+fn largest_delivery_time_is_that_of_the_slowest_node_including_complete_nodes() {
+    let data = data(one_incarnation_each([100, 200, 300, 0]), published());
+    let figures = figures_of(&[], &data, &[]);
     assert_eq!((figures["log_largest_s"], figures["state_largest_s"]), (0.3, 0.3));
     assert_eq!((figures["log_lost"], figures["log_twice"], figures["log_out_of_order"]), (0.0, 0.0, 0.0));
     assert_eq!(figures["state_lost"], 0.0);
-    let figures = figures_of(&[], &told, &[life(900)]);
+    let figures = figures_of(&[], &data, &[incarnation(900)]);
     assert_eq!((figures["log_largest_s"], figures["complete_received"]), (0.9, 3.0));
 }
 
 #[test]
-fn an_entry_that_one_node_never_got_is_lost_and_has_no_time() {
-    let mut lives = steady([100; 4]);
-    lives[2][0].entries.pop();
-    lives[1][0].versions.clear();
-    let figures = figures_of(&[], &told(lives, published()), &[]);
+fn an_entry_missing_at_one_node_counts_as_lost_and_has_no_delivery_time() {
+    let mut incarnations = one_incarnation_each([100; 4]);
+    incarnations[2][0].entries.pop();
+    incarnations[1][0].versions.clear();
+    let figures = figures_of(&[], &data(incarnations, published()), &[]);
     assert_eq!((figures["log_lost"], figures["state_lost"]), (1.0, 1.0));
     assert!(!figures.contains_key("log_largest_s") && !figures.contains_key("state_largest_s"));
 }
 
 #[test]
-fn an_entry_that_comes_twice_or_over_a_hole_is_counted() {
-    let mut lives = steady([100; 4]);
-    lives[0][0].entries.push(numbered(3, 5_000));
-    lives[1][0].entries.swap(0, 1);
-    lives[2][0].entries.remove(1);
-    let figures = figures_of(&[], &told(lives, published()), &[]);
+fn duplicate_and_out_of_order_entries_are_counted() {
+    let mut incarnations = one_incarnation_each([100; 4]);
+    incarnations[0][0].entries.push(sequence_at(3, 5_000));
+    incarnations[1][0].entries.swap(0, 1);
+    incarnations[2][0].entries.remove(1);
+    let figures = figures_of(&[], &data(incarnations, published()), &[]);
     assert_eq!(figures["log_twice"], 1.0);
-    // The first one after the second one; and the third one over a hole.
+    // Entry 1 after entry 2, and entry 3 after a missing entry 2.
     assert_eq!(figures["log_out_of_order"], 2.0);
     assert_eq!(figures["log_lost"], 1.0);
 }
 
 #[test]
-fn a_hole_that_was_told_is_none() {
-    let mut lives = steady([100; 4]);
-    // The node that a kill meets; it came back, and was told to be without the first two.
-    let reset = Reset { at: RESTED, after: 0, through: 2 };
-    let back = Life { entries: vec![numbered(3, 4_000)], resets: vec![reset], ..life(100) };
-    lives[3] = vec![life(100), back];
-    let told_of = told(lives.clone(), published());
-    let figures = figures_of(&[FaultKind::Kill], &told_of, &[]);
+fn entries_skipped_by_a_log_reset_are_not_counted_as_lost() {
+    let mut incarnations = one_incarnation_each([100; 4]);
+    // The killed node has come back, and a log reset told it to skip the first two entries.
+    let reset = Reset { at: PUBLISH_START, after: 0, through: 2 };
+    let back = Incarnation { entries: vec![sequence_at(3, 4_000)], resets: vec![reset], ..incarnation(100) };
+    incarnations[3] = vec![incarnation(100), back];
+    let data_with_reset = data(incarnations.clone(), published());
+    let figures = figures_of(&[FaultKind::Kill], &data_with_reset, &[]);
     assert_eq!((figures["log_lost"], figures["log_out_of_order"]), (0.0, 0.0));
-    // Without that word it lacks them.
-    lives[3][1].resets.clear();
-    let figures = figures_of(&[FaultKind::Kill], &told(lives, published()), &[]);
+    // Without the reset, those two entries are missing.
+    incarnations[3][1].resets.clear();
+    let figures = figures_of(&[FaultKind::Kill], &data(incarnations, published()), &[]);
     assert_eq!(figures["log_lost"], 2.0);
 }
 
 #[test]
-fn entries_that_a_fault_may_meet_have_a_figure_of_their_own() {
+fn entries_published_near_a_fault_have_a_separate_figure() {
     let mut published = published();
-    // Faults begin 10 s after the publishing; the bounds hold again 5 s later.
-    published.entries.push(numbered(4, 12_000));
-    published.entries.push(numbered(5, 15_500));
-    let mut lives = steady([100; 4]);
-    for held in &mut lives {
-        held[0].entries.push(numbered(4, 16_000));
-        held[0].entries.push(numbered(5, 16_000));
+    // The fault begins 10 s after publishing starts; the bounds hold again 5 s later.
+    published.entries.push(sequence_at(4, 12_000));
+    published.entries.push(sequence_at(5, 15_500));
+    let mut incarnations = one_incarnation_each([100; 4]);
+    for node in &mut incarnations {
+        node[0].entries.push(sequence_at(4, 16_000));
+        node[0].entries.push(sequence_at(5, 16_000));
     }
-    let figures = figures_of(&[FaultKind::Kill], &told(lives, published), &[]);
+    let figures = figures_of(&[FaultKind::Kill], &data(incarnations, published), &[]);
     assert_eq!((figures["log_largest_s"], figures["log_trouble_s"]), (0.5, 4.0));
 }
 
 #[test]
-fn an_acknowledgement_before_the_last_node_applied_is_wrong() {
-    let word = |number: u64, at_ms: Micros| Acknowledged { number, at: RESTED + at_ms * 1_000, nodes: 4 };
-    let entries_acknowledged = vec![word(1, 1_500), word(2, 2_250), word(3, 4_000)];
+fn an_acknowledgement_before_the_last_node_applied_the_entry_is_counted_as_wrong() {
+    let acknowledgement =
+        |number: u64, at_ms: Micros| Acknowledged { number, at: PUBLISH_START + at_ms * 1_000, nodes: 4 };
+    let entries_acknowledged =
+        vec![acknowledgement(1, 1_500), acknowledgement(2, 2_250), acknowledgement(3, 4_000)];
     let published = Published { entries_acknowledged, ..published() };
-    let figures = figures_of(&[], &told(steady([100, 200, 300, 0]), published), &[]);
+    let figures = figures_of(&[], &data(one_incarnation_each([100, 200, 300, 0]), published), &[]);
     assert_eq!(figures["acknowledged_wrong"], 1.0);
     assert_eq!((figures["acknowledged_missing"], figures["acknowledged_largest_s"]), (0.0, 1.0));
 }
 
 #[test]
-fn an_entry_that_nobody_acknowledged_is_missing() {
-    let figures = figures_of(&[], &told(steady([100; 4]), published()), &[]);
+fn entries_without_acknowledgement_are_counted_as_missing() {
+    let figures = figures_of(&[], &data(one_incarnation_each([100; 4]), published()), &[]);
     assert_eq!(figures["acknowledged_missing"], 3.0);
 }
 
 #[test]
-fn a_later_version_stands_for_those_before() {
-    let mut life = life(100);
-    life.versions = vec![numbered(3, 5_000)];
-    let applied = of_state(&life);
+fn a_later_version_supersedes_earlier_versions() {
+    let mut incarnation = incarnation(100);
+    incarnation.versions = vec![sequence_at(3, 5_000)];
+    let applied = state_times(&incarnation);
     assert_eq!(applied.keys().copied().collect::<Vec<_>>(), [1, 2, 3]);
 }
 
 #[test]
-fn every_figure_has_a_name_that_checks_may_use() {
-    let figures = figures_of(&[FaultKind::Kill], &told(steady([100; 4]), published()), &[life(1)]);
+fn every_figure_is_listed_for_checks() {
+    let figures =
+        figures_of(&[FaultKind::Kill], &data(one_incarnation_each([100; 4]), published()), &[incarnation(1)]);
     let known = crate::hollow::figures::known_name;
     assert!(figures.keys().all(|name| known(name).is_some()), "{figures:?}");
 }
--- a/lab/src/hollow/experiment.rs
+++ b/lab/src/hollow/experiment.rs
@@ -1,8 +1,8 @@
-//! The kind `[hollow]` of experiments: hollow nodes in real time, as a file says.
+//! The experiment kind `[hollow]`: hollow nodes in real time, configured by a file.
 
+use super::batch::{run_all, BatchOptions};
 use super::figures::{figure_meanings, known_name};
 use super::places::Map;
-use super::play::{play_all, PlayOptions};
 use super::run::HollowRun;
 use super::settings::{Hollow, HollowFault, Publish};
 use crate::scale::{Kind, RunOptions, ScaleKind, ScaleRun, TableReader};
@@ -28,31 +28,31 @@
 const TABLES: [&str; 2] = ["publish", "fault"];
 
 impl Hollow {
-    /// The kind `[hollow]`.
+    /// The experiment kind `[hollow]`.
     pub const KIND: Kind = Kind { table: "hollow", read, figures: figure_meanings };
 
-    /// Reads its values from a table; what is wrong is told to the reader.
+    /// Reads the settings from a table; errors are reported to the reader.
     fn read(reader: &mut TableReader) -> Self {
         reader.only(&[&KEYS[..], &TABLES].concat());
-        let standard = Self::default();
+        let defaults = Self::default();
         let numbers = "a list of numbers";
         let map = Map {
-            regions: reader.optional("regions", "a number").unwrap_or(standard.map.regions),
-            zones: reader.optional("zones", "a number").unwrap_or(standard.map.zones),
-            farthest: reader.duration("farthest").unwrap_or(standard.map.farthest),
+            regions: reader.optional("regions", "a number").unwrap_or(defaults.map.regions),
+            zones: reader.optional("zones", "a number").unwrap_or(defaults.map.zones),
+            farthest: reader.duration("farthest").unwrap_or(defaults.map.farthest),
         };
         Self {
-            nodes: reader.optional("nodes", numbers).unwrap_or(standard.nodes),
-            processes: reader.optional("processes", "a number").unwrap_or(standard.processes),
-            complete: reader.optional("complete", "a number").unwrap_or(standard.complete),
-            loss: reader.optional("loss", numbers).unwrap_or(standard.loss),
-            start: reader.duration("start").unwrap_or(standard.start),
-            meet: reader.duration("meet").unwrap_or(standard.meet),
-            end_when_met: reader.optional("end_when_met", "true or false").unwrap_or(standard.end_when_met),
-            rest: reader.duration("rest").unwrap_or(standard.rest),
-            lateness: reader.duration("lateness").unwrap_or(standard.lateness),
-            probe_every: reader.duration("probe_every").unwrap_or(standard.probe_every),
-            probe_timeout: reader.duration("probe_timeout").unwrap_or(standard.probe_timeout),
+            nodes: reader.optional("nodes", numbers).unwrap_or(defaults.nodes),
+            processes: reader.optional("processes", "a number").unwrap_or(defaults.processes),
+            complete: reader.optional("complete", "a number").unwrap_or(defaults.complete),
+            loss: reader.optional("loss", numbers).unwrap_or(defaults.loss),
+            start: reader.duration("start").unwrap_or(defaults.start),
+            meet: reader.duration("meet").unwrap_or(defaults.meet),
+            end_when_met: reader.optional("end_when_met", "true or false").unwrap_or(defaults.end_when_met),
+            rest: reader.duration("rest").unwrap_or(defaults.rest),
+            lateness: reader.duration("lateness").unwrap_or(defaults.lateness),
+            probe_every: reader.duration("probe_every").unwrap_or(defaults.probe_every),
+            probe_timeout: reader.duration("probe_timeout").unwrap_or(defaults.probe_timeout),
             map,
             publish: read_publish(reader),
             fault: read_faults(reader),
@@ -62,8 +62,8 @@
 
 fn read(mut reader: TableReader) -> Option<Box<dyn ScaleKind>> {
     let hollow = Hollow::read(&mut reader);
-    for wrong in hollow.faults() {
-        reader.fault(&wrong.key, &wrong.found, &wrong.expected);
+    for invalid in hollow.validate() {
+        reader.fault(&invalid.key, &invalid.found, &invalid.expected);
     }
     reader.is_good().then(|| Box::new(hollow) as Box<dyn ScaleKind>)
 }
@@ -81,13 +81,13 @@
 fn read_faults(reader: &mut TableReader) -> Vec<HollowFault> {
     let tables: Vec<Table> = reader.optional("fault", "[[hollow.fault]] tables").unwrap_or_default();
     let mut faults = Vec::new();
-    for (place, table) in tables.into_iter().enumerate() {
+    for (index, table) in tables.into_iter().enumerate() {
         match Value::Table(table).try_into::<HollowFault>() {
             Ok(fault) => faults.push(fault),
             Err(error) => {
                 let expected = "what (kill, rack, zone, restart or region), lasts, after";
                 let found = error.message().replace('\n', " ");
-                reader.fault(&format!("fault {}", place + 1), &found, expected);
+                reader.fault(&format!("fault {}", index + 1), &found, expected);
             }
         }
     }
@@ -104,14 +104,14 @@
     }
 
     fn run(&self, options: &RunOptions) -> Result<Vec<ScaleRun>, Box<dyn Error>> {
-        let how = PlayOptions {
+        let batch = BatchOptions {
             seeds: options.seeds.clone(),
             node: options.node.clone(),
             logs: options.logs.clone(),
         };
-        // The command line may be more patient than the file, on a busy machine.
+        // On a busy machine the command line may allow more lateness than the file.
         let hollow = Self { lateness: self.lateness.max(options.lateness), ..self.clone() };
-        let runs = play_all(&hollow, &how)?;
+        let runs = run_all(&hollow, &batch)?;
         Ok(runs.iter().map(as_run).collect())
     }
 }
--- a/lab/src/hollow/experiment/tests.rs
+++ b/lab/src/hollow/experiment/tests.rs
@@ -3,7 +3,7 @@
 
 const HEAD: &str = "name = \"n\"\nabout = \"a\"\n";
 
-fn told(text: &str) -> Vec<String> {
+fn diagnostics(text: &str) -> Vec<String> {
     match ScaleExperiment::parse(&format!("{HEAD}{text}")) {
         Ok(_) => Vec::new(),
         Err(faults) => faults.iter().map(Diagnostic::to_string).collect(),
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_file_has_a_default_for_all_that_it_does_not_say() {
+fn omitted_settings_take_their_defaults() {
     let text = format!("{HEAD}[hollow]\nnodes = [66]\n[[hollow.fault]]\nwhat = \"zone\"\n");
     let experiment = ScaleExperiment::parse(&text).unwrap().unwrap();
     let settings = experiment.does.settings().unwrap();
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn everything_that_is_wrong_in_a_file_is_told_at_once_with_its_place() {
-    let told = told(
+fn all_invalid_settings_of_a_file_are_reported_at_once_with_their_location() {
+    let diagnostics = diagnostics(
         "[hollow]\nnode = 3\nnodes = [1]\nprocesses = \"many\"\nloss = [2.0]\nrest = \"0s\"\n\
          [[hollow.fault]]\nwhat = \"flood\"\n[[hollow.fault]]\nwhat = \"kill\"\nlasts = \"1ms\"\n\
          [[check]]\nname = \"c\"\nfigure = \"no_such\"\nat_most = 1\n",
     );
-    let places = [
+    let expected_starts = [
         "hollow: node: found an unknown key",
         "hollow: processes: found \"many\"",
         "hollow: fault 1: found unknown variant `flood`",
@@ -38,14 +38,14 @@
         "hollow: fault 1: lasts: found 1ms",
         "check 1: figure: found \"no_such\"",
     ];
-    for place in places {
-        assert!(told.iter().any(|line| line.starts_with(place)), "{place}: {told:#?}");
+    for expected in expected_starts {
+        assert!(diagnostics.iter().any(|line| line.starts_with(expected)), "{expected}: {diagnostics:#?}");
     }
-    assert!(told.iter().all(|line| line.contains("expected")), "{told:#?}");
+    assert!(diagnostics.iter().all(|line| line.contains("expected")), "{diagnostics:#?}");
 }
 
 #[test]
-fn the_experiments_on_hollow_nodes_can_be_read() {
+fn the_provided_hollow_experiments_can_be_loaded() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
     for name in ["scale-hollow-530", "capacity-hollow-dissemination", "hollow-small"] {
         let read = ScaleExperiment::load(&folder.join(format!("{name}.toml"))).unwrap();
--- a/lab/src/hollow/machine.rs
+++ b/lab/src/hollow/machine.rs
@@ -1,51 +1,51 @@
-//! Whether this machine can hold a run, before anything starts.
+//! Checks before a run whether this machine can hold it.
 
 use procfs::{Current, Meminfo};
 use thiserror::Error;
 
-/// Memory that a hollow node may come to: what one of 530 took, several times over.
+/// Upper bound on the memory of a hollow node: several times what a node of a cluster of 530 used.
 const BYTES_PER_HOLLOW: u64 = 8 * 1024 * 1024;
-/// And each process beside its nodes.
+/// Memory of each process in addition to its nodes.
 const BYTES_PER_PROCESS: u64 = 32 * 1024 * 1024;
-/// Memory that a complete node may come to with its servers and clients.
+/// Upper bound on the memory of a complete node with its servers and clients.
 const BYTES_PER_COMPLETE: u64 = 192 * 1024 * 1024;
-/// All runs together stay under this.
-const MOST_BYTES: u64 = 12 * 1024 * 1024 * 1024;
-/// Processes of a run at the most.
-const MOST_PROCESSES: usize = 200;
+/// Upper bound on the memory of any run.
+const MAX_BYTES: u64 = 12 * 1024 * 1024 * 1024;
+/// Upper bound on the processes of a run.
+const MAX_PROCESSES: usize = 200;
 
-/// What a run needs.
+/// Resources that a run needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Need {
-    /// Processes, the lab itself among them.
+pub struct Requirements {
+    /// Number of processes, including the lab itself.
     pub processes: usize,
-    /// Memory at the most, in bytes.
+    /// Upper bound on memory, in bytes.
     pub bytes: u64,
 }
 
-/// What a run needs that this machine has not.
+/// A resource that the run would exceed.
 #[derive(Debug, Error)]
 pub enum TooLarge {
     /// Memory.
-    #[error("the run may need {needed_mb} MiB, expected at most {most_mb} MiB: {why}")]
+    #[error("the run may need {needed_mb} MiB, expected at most {max_mb} MiB: {limit}")]
     Memory {
-        /// What it may need.
+        /// What the run may need.
         needed_mb: u64,
-        /// What it may have.
-        most_mb: u64,
-        /// Where that bound comes from.
-        why: &'static str,
+        /// What is allowed.
+        max_mb: u64,
+        /// Which limit is exceeded.
+        limit: &'static str,
     },
     /// Processes.
-    #[error("the run needs {needed} processes, expected at most {MOST_PROCESSES}")]
+    #[error("the run needs {needed} processes, expected at most {MAX_PROCESSES}")]
     Processes {
-        /// What it needs.
+        /// What the run needs.
         needed: usize,
     },
 }
 
-impl Need {
-    /// Of a run.
+impl Requirements {
+    /// Requirements of a run.
     pub fn new(nodes: usize, processes: usize, complete: usize) -> Self {
         let bytes = nodes as u64 * BYTES_PER_HOLLOW
             + processes as u64 * BYTES_PER_PROCESS
@@ -53,21 +53,23 @@
         Self { processes: 1 + processes + complete, bytes }
     }
 
-    /// Whether that is within the lab's own bounds and within what this machine has left.
+    /// Checks the lab's own limits and the memory available on this machine.
     pub fn check(&self) -> Result<(), TooLarge> {
         let available = Meminfo::current().ok().and_then(|memory| memory.mem_available);
         self.check_against(available.unwrap_or(u64::MAX))
     }
 
-    /// Whether that is within the lab's own bounds and this much memory.
+    /// Checks the lab's own limits and this amount of available memory.
     pub fn check_against(&self, available: u64) -> Result<(), TooLarge> {
         let mb = |bytes: u64| bytes / (1024 * 1024);
-        if self.processes > MOST_PROCESSES {
+        if self.processes > MAX_PROCESSES {
             return Err(TooLarge::Processes { needed: self.processes });
         }
-        for (most, why) in [(MOST_BYTES, "the lab's own bound"), (available, "what this machine has left")] {
-            if self.bytes > most {
-                return Err(TooLarge::Memory { needed_mb: mb(self.bytes), most_mb: mb(most), why });
+        for (max_bytes, limit) in
+            [(MAX_BYTES, "the lab's own limit"), (available, "available memory of this machine")]
+        {
+            if self.bytes > max_bytes {
+                return Err(TooLarge::Memory { needed_mb: mb(self.bytes), max_mb: mb(max_bytes), limit });
             }
         }
         Ok(())
--- a/lab/src/hollow/machine/tests.rs
+++ b/lab/src/hollow/machine/tests.rs
@@ -3,23 +3,26 @@
 const GIB: u64 = 1024 * 1024 * 1024;
 
 #[test]
-fn the_largest_run_that_is_asked_for_is_within_the_labs_bounds() {
-    let need = Need::new(530, 16, 8);
-    assert_eq!(need.processes, 25);
-    assert!(need.check_against(16 * GIB).is_ok(), "{need:?}");
+fn the_largest_supported_run_is_within_the_limits_of_the_lab() {
+    let requirements = Requirements::new(530, 16, 8);
+    assert_eq!(requirements.processes, 25);
+    assert!(requirements.check_against(16 * GIB).is_ok(), "{requirements:?}");
 }
 
 #[test]
-fn too_little_memory_and_too_many_processes_are_refused() {
-    let need = Need::new(530, 16, 8);
+fn runs_with_too_little_memory_or_too_many_processes_are_rejected() {
+    let requirements = Requirements::new(530, 16, 8);
     assert!(matches!(
-        need.check_against(GIB),
-        Err(TooLarge::Memory { why: "what this machine has left", .. })
+        requirements.check_against(GIB),
+        Err(TooLarge::Memory { limit: "available memory of this machine", .. })
     ));
-    let large = Need::new(4_096, 16, 0);
+    let large = Requirements::new(4_096, 16, 0);
     assert!(matches!(
         large.check_against(64 * GIB),
-        Err(TooLarge::Memory { why: "the lab's own bound", .. })
+        Err(TooLarge::Memory { limit: "the lab's own limit", .. })
+    ));
+    assert!(matches!(
+        Requirements::new(10, 10, 500).check_against(64 * GIB),
+        Err(TooLarge::Processes { .. })
     ));
-    assert!(matches!(Need::new(10, 10, 500).check_against(64 * GIB), Err(TooLarge::Processes { .. })));
 }
--- a/lab/src/hollow/meters.rs
+++ b/lab/src/hollow/meters.rs
@@ -1,4 +1,4 @@
-//! What a process measures of itself: bytes by second, how late it is, processor time and memory.
+//! Measurements of a process: bytes by second, lateness, CPU time and memory.
 
 use super::clock;
 use super::protocol::{Micros, NodeReport, Usage};
@@ -10,63 +10,67 @@
 use std::net::SocketAddr;
 
 const SECOND: Micros = 1_000_000;
-/// The largest lateness that is told apart.
-const LATEST: Micros = 600 * SECOND;
-/// Seconds of a run that are told apart; what comes later counts to the last.
-const SECONDS: usize = 4 * 3_600;
+/// The largest lateness that the histogram distinguishes.
+const MAX_LATENESS: Micros = 600 * SECOND;
+/// Seconds of a run that are counted separately; later ones are added to the last.
+const MAX_SECONDS: usize = 4 * 3_600;
 
-/// Of one process.
+/// Measurements of one process.
 pub struct Meters {
-    late: RefCell<Histogram<u64>>,
+    lateness: RefCell<Histogram<u64>>,
     usage: RefCell<Vec<Usage>>,
 }
 
 impl Meters {
-    /// Nothing measured yet.
+    /// Creates empty measurements.
     pub fn new() -> io::Result<Self> {
-        let late = Histogram::new_with_bounds(1, LATEST, 3).map_err(io::Error::other)?;
-        Ok(Self { late: RefCell::new(late), usage: RefCell::default() })
+        let lateness = Histogram::new_with_bounds(1, MAX_LATENESS, 3).map_err(io::Error::other)?;
+        Ok(Self { lateness: RefCell::new(lateness), usage: RefCell::default() })
     }
 
-    /// Something came so late.
-    pub fn late(&self, by: Micros) {
-        self.late.borrow_mut().saturating_record(by.max(1));
+    /// Records how late a timer or a delivery was.
+    pub fn record_lateness(&self, lateness: Micros) {
+        self.lateness.borrow_mut().saturating_record(lateness.max(1));
     }
 
-    /// The 99th percentile of lateness and the most.
-    pub fn lateness(&self) -> (Micros, Micros) {
-        let late = self.late.borrow();
-        (late.value_at_quantile(0.99), late.max())
+    /// The 99th percentile and the maximum of lateness.
+    pub fn lateness_p99_and_max(&self) -> (Micros, Micros) {
+        let lateness = self.lateness.borrow();
+        (lateness.value_at_quantile(0.99), lateness.max())
     }
 
-    /// Notes processor time and memory.
-    pub fn look(&self, at: Micros) {
-        self.usage.borrow_mut().push(Usage { at, processor: clock::processor(), memory: memory() });
+    /// Records CPU time and memory.
+    pub fn sample_usage(&self, at: Micros) {
+        self.usage.borrow_mut().push(Usage {
+            at,
+            cpu_us: clock::cpu_time_us(),
+            memory_bytes: resident_bytes(),
+        });
     }
 
-    /// All that was noted.
+    /// All recorded samples.
     pub fn usage(&self) -> Vec<Usage> {
         self.usage.borrow().clone()
     }
 }
 
-/// Memory that this process holds, in bytes; zero where the system does not tell.
-pub fn memory() -> u64 {
-    let held = Process::myself().and_then(|process| process.statm());
-    held.map_or(0, |held| held.resident * procfs::page_size())
+/// Resident memory of this process, in bytes; zero if the system does not report it.
+pub fn resident_bytes() -> u64 {
+    let statm = Process::myself().and_then(|process| process.statm());
+    statm.map_or(0, |statm| statm.resident * procfs::page_size())
 }
 
-/// Datagrams that came to these sockets and found their queues full, as the system counts them.
+/// Datagrams that the kernel dropped because the receive queues of these sockets were full.
 pub fn queue_full(sockets: &[SocketAddr]) -> u64 {
     let table = std::fs::read_to_string("/proc/self/net/udp").unwrap_or_default();
-    let sockets: BTreeSet<String> = sockets.iter().filter_map(in_table).collect();
+    let sockets: BTreeSet<String> = sockets.iter().filter_map(proc_net_udp_address).collect();
     let lines = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
     let ours = lines.filter(|line| line.get(1).is_some_and(|address| sockets.contains(*address)));
     ours.filter_map(|line| line.last()?.parse::<u64>().ok()).sum()
 }
 
-/// An address as the system's table of sockets has it: the bytes of the address as one number of this machine's order.
-fn in_table(address: &SocketAddr) -> Option<String> {
+/// An address in the format of `/proc/net/udp`: the address bytes as a number in native byte order.
+fn proc_net_udp_address(address: &SocketAddr) -> Option<String> {
     match address {
         SocketAddr::V4(address) => {
             let number = u32::from_ne_bytes(address.ip().octets());
@@ -76,9 +80,9 @@
     }
 }
 
-/// A node has sent a datagram.
-pub fn count_bytes(report: &mut NodeReport, now: Micros, length: usize) {
-    let second = ((now / SECOND) as usize).min(SECONDS);
+/// Counts a datagram that a node sent.
+pub fn count_sent(report: &mut NodeReport, now: Micros, length: usize) {
+    let second = ((now / SECOND) as usize).min(MAX_SECONDS);
     if report.bytes.len() <= second {
         report.bytes.resize(second + 1, 0);
     }
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -1,7 +1,8 @@
-//! Hollow nodes: the control part of many nodes in few processes, in real time on real sockets. Each has an address of
-//! its own in 127.0.0.0/8, its real membership, its UDP socket and its timers, and no request path. A table of regions
-//! adds delay and loss before the real send. Complete nodes may stand beside them in the same cluster.
+//! Hollow nodes: the control part of many nodes in few processes, in real time on real sockets. Each has its own
+//! address in 127.0.0.0/8, its real membership, UDP socket and timers, but no request path. Delay and loss between
+//! regions are added before the datagram is sent. Complete nodes can take part in the same cluster.
 
+pub mod batch;
 pub mod children;
 pub mod clock;
 pub mod complete;
@@ -13,7 +14,6 @@
 mod network;
 mod node;
 pub mod places;
-pub mod play;
 pub mod process;
 pub mod protocol;
 pub mod run;
--- a/lab/src/hollow/network.rs
+++ b/lab/src/hollow/network.rs
@@ -1,5 +1,6 @@
-//! The network between hollow nodes: delays, losses and cuts, on the sender's side, before the real send. What a complete
-//! node sends meets them on the receiver's side, as nobody stands before its socket.
+//! The network between hollow nodes: delay, loss and partitions are applied on the sender's side, before the datagram
+//! is sent. For datagrams of complete nodes they are applied on the receiver's side, because the lab does not control
+//! their sockets.
 
 use super::clock::Clock;
 use super::places::{Map, Place};
@@ -16,17 +17,17 @@
 use tokio::task::yield_now;
 use tokio::time::sleep_until;
 
-/// Datagrams that may be on their way from one process; more than this the lab cannot carry.
-const ON_THEIR_WAY: usize = 200_000;
-/// Deliveries before the nodes of the process have their turn.
-const AT_ONCE: u32 = 64;
+/// Limit of delayed datagrams per process; more are dropped and make the run void.
+const MAX_DELAYED: usize = 200_000;
+/// Deliveries after which the nodes of the process get a turn.
+const DELIVERIES_PER_TURN: u32 = 64;
 
-/// What waits for its time.
+/// A delayed action.
 enum Delivery {
-    /// A datagram that a node sends.
+    /// Send a hollow node's datagram.
     Send { socket: Rc<UdpSocket>, to: SocketAddr },
-    /// A datagram that has come for a node from a complete one.
-    Take { inbox: mpsc::UnboundedSender<Vec<u8>> },
+    /// Pass a datagram from a complete node to the receiving node.
+    Receive { inbox: mpsc::UnboundedSender<Vec<u8>> },
 }
 
 struct Delayed {
@@ -53,59 +54,59 @@
     }
 }
 
-/// Datagrams that did not come through.
+/// Counters of datagrams that were not delivered.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Undelivered {
-    /// By the table's chances and its cuts.
+    /// Lost at random or between partitioned regions.
     pub lost: u64,
-    /// The lab could not carry them.
-    pub not_carried: u64,
-    /// The system did not take them.
+    /// Dropped because too many datagrams were delayed.
+    pub overflowed: u64,
+    /// Rejected by the system on sending.
     pub refused: u64,
 }
 
-/// The network as one process has it.
+/// The network as seen by one process.
 pub struct Network {
     clock: Clock,
     map: Map,
     loss: f64,
-    /// Where nodes stand, by the address at which they are reached.
-    reached_at: HashMap<SocketAddr, Place>,
-    /// Where complete nodes stand, by the address that their datagrams come from.
-    complete: HashMap<SocketAddr, Place>,
+    /// Places of nodes, by advertised address.
+    by_advertised: HashMap<SocketAddr, Place>,
+    /// Places of complete nodes, by the source address of their datagrams.
+    complete_by_source: HashMap<SocketAddr, Place>,
     cut: RefCell<BTreeSet<usize>>,
     random: RefCell<Xoshiro256PlusPlus>,
     delayed: RefCell<BinaryHeap<Reverse<Delayed>>>,
     order: Cell<u64>,
-    sooner: Notify,
+    earlier_delivery: Notify,
     undelivered: Cell<Undelivered>,
 }
 
 impl Network {
-    /// As the run's table has it. `draws`: tells processes of one run apart.
-    pub fn new(begin: &Begin, clock: Clock, draws: u64) -> Self {
+    /// Creates the network of a run. `stream`: gives each process of a run its own random numbers.
+    pub fn new(begin: &Begin, clock: Clock, stream: u64) -> Self {
         let hollow =
             begin.addresses.iter().enumerate().map(|(node, address)| (*address, begin.map.place(node)));
-        // Complete nodes stand together where node 0 stands.
-        let here = begin.map.place(0);
-        let reached_at = hollow.chain(begin.complete.iter().map(|node| (node.advertise, here)));
+        // All complete nodes share the place of node 0.
+        let complete_place = begin.map.place(0);
+        let by_advertised = hollow.chain(begin.complete.iter().map(|node| (node.advertise, complete_place)));
         Self {
             clock,
             map: begin.map,
             loss: begin.loss,
-            reached_at: reached_at.collect(),
-            complete: begin.complete.iter().map(|node| (node.source, here)).collect(),
+            by_advertised: by_advertised.collect(),
+            complete_by_source: begin.complete.iter().map(|node| (node.source, complete_place)).collect(),
             cut: RefCell::default(),
-            random: RefCell::new(Xoshiro256PlusPlus::seed_from_u64(begin.seed ^ draws << 32)),
+            random: RefCell::new(Xoshiro256PlusPlus::seed_from_u64(begin.seed ^ stream << 32)),
             delayed: RefCell::default(),
             order: Cell::new(0),
-            sooner: Notify::new(),
+            earlier_delivery: Notify::new(),
             undelivered: Cell::default(),
         }
     }
 
-    /// A region loses all others, or has them back.
-    pub fn cut(&self, region: usize, is_cut: bool) {
+    /// Partitions a region from all others, or reconnects it.
+    pub fn set_region_cut(&self, region: usize, is_cut: bool) {
         let mut cut = self.cut.borrow_mut();
         if is_cut {
             cut.insert(region);
@@ -114,11 +115,11 @@
         }
     }
 
-    /// Whether a datagram comes through at all.
+    /// Whether a datagram is delivered at all; counts those that are not.
     fn passes(&self, from: Place, to: Place) -> bool {
         let cut = self.cut.borrow();
-        let apart = from.region != to.region && (cut.contains(&from.region) || cut.contains(&to.region));
-        let passes = !apart && self.random.borrow_mut().random::<f64>() >= self.loss;
+        let separated = from.region != to.region && (cut.contains(&from.region) || cut.contains(&to.region));
+        let passes = !separated && self.random.borrow_mut().random::<f64>() >= self.loss;
         if !passes {
             self.count(|undelivered| undelivered.lost += 1);
         }
@@ -133,8 +134,8 @@
 
     /// Sends a datagram from a node's socket, after its delay.
     pub fn send(&self, from: Place, socket: &Rc<UdpSocket>, to: SocketAddr, data: Vec<u8>) {
-        // Whoever else is met, an observer say, has a good way there.
-        let Some(place) = self.reached_at.get(&to) else { return self.send_now(socket, to, &data) };
+        // Unknown destinations, such as observers, are reached without delay or loss.
+        let Some(place) = self.by_advertised.get(&to) else { return self.send_now(socket, to, &data) };
         if !self.passes(from, *place) {
             return;
         }
@@ -143,26 +144,26 @@
             return self.send_now(socket, to, &data);
         }
         let at = self.clock.now() + delay.as_micros() as Micros;
-        self.later(at, Delivery::Send { socket: socket.clone(), to }, data);
+        self.schedule(at, Delivery::Send { socket: socket.clone(), to }, data);
     }
 
     fn send_now(&self, socket: &UdpSocket, to: SocketAddr, data: &[u8]) {
-        // What cannot be sent at once is lost, as with a complete node.
+        // A datagram that cannot be sent at once is lost, as in a complete node.
         if socket.try_send_to(data, to).is_err() {
             self.count(|undelivered| undelivered.refused += 1);
         }
     }
 
-    /// Takes a datagram that has come for a node: it is handed back where it comes from a hollow node and so has had its
-    /// delay; what a complete node sent comes to `inbox` later, if it comes.
-    pub fn take(
+    /// Filters a datagram that a node received. Returns `true` if it is to be handled now, as are those of hollow
+    /// nodes, which have been delayed by the sender. A datagram of a complete node may be lost, or reach `inbox` later.
+    pub fn filter_received(
         &self,
         at: Place,
         source: SocketAddr,
         data: &[u8],
         inbox: &mpsc::UnboundedSender<Vec<u8>>,
     ) -> bool {
-        let Some(from) = self.complete.get(&source) else { return true };
+        let Some(from) = self.complete_by_source.get(&source) else { return true };
         if !self.passes(*from, at) {
             return false;
         }
@@ -171,25 +172,25 @@
             return true;
         }
         let due = self.clock.now() + delay.as_micros() as Micros;
-        self.later(due, Delivery::Take { inbox: inbox.clone() }, data.to_vec());
+        self.schedule(due, Delivery::Receive { inbox: inbox.clone() }, data.to_vec());
         false
     }
 
-    fn later(&self, at: Micros, delivery: Delivery, data: Vec<u8>) {
+    fn schedule(&self, at: Micros, delivery: Delivery, data: Vec<u8>) {
         let mut delayed = self.delayed.borrow_mut();
-        if delayed.len() >= ON_THEIR_WAY {
-            return self.count(|undelivered| undelivered.not_carried += 1);
+        if delayed.len() >= MAX_DELAYED {
+            return self.count(|undelivered| undelivered.overflowed += 1);
         }
-        let sooner = delayed.peek().is_none_or(|Reverse(first)| at < first.at);
+        let is_earliest = delayed.peek().is_none_or(|Reverse(first)| at < first.at);
         self.order.set(self.order.get() + 1);
         delayed.push(Reverse(Delayed { at, order: self.order.get(), delivery, data }));
-        if sooner {
-            self.sooner.notify_one();
+        if is_earliest {
+            self.earlier_delivery.notify_one();
         }
     }
 
-    /// Delivers what is due, for as long as the process runs. `late`: is told how late each delivery is.
-    pub async fn deliver(&self, late: impl Fn(Micros)) {
+    /// Delivers what is due, for as long as the process runs. `record_lateness` receives the lateness of each delivery.
+    pub async fn deliver(&self, record_lateness: impl Fn(Micros)) {
         let mut delivered = 0;
         loop {
             let next = self.delayed.borrow().peek().map(|Reverse(first)| first.at);
@@ -198,31 +199,31 @@
                 Some(at) if at <= now => {
                     let due = self.delayed.borrow_mut().pop();
                     let Some(Reverse(due)) = due else { continue };
-                    late(now - at);
-                    self.hand_over(due);
+                    record_lateness(now - at);
+                    self.deliver_one(due);
                     delivered += 1;
-                    if delivered % AT_ONCE == 0 {
+                    if delivered % DELIVERIES_PER_TURN == 0 {
                         yield_now().await;
                     }
                 }
                 Some(at) => tokio::select! {
-                    () = sleep_until(self.clock.moment(at)) => {}
-                    () = self.sooner.notified() => {}
+                    () = sleep_until(self.clock.instant_at(at)) => {}
+                    () = self.earlier_delivery.notified() => {}
                 },
-                None => self.sooner.notified().await,
+                None => self.earlier_delivery.notified().await,
             }
         }
     }
 
-    fn hand_over(&self, due: Delayed) {
+    fn deliver_one(&self, due: Delayed) {
         match due.delivery {
             Delivery::Send { socket, to } => self.send_now(&socket, to, &due.data),
-            // A node that is gone takes nothing.
-            Delivery::Take { inbox } => drop(inbox.send(due.data)),
+            // The receiving node may have ended.
+            Delivery::Receive { inbox } => drop(inbox.send(due.data)),
         }
     }
 
-    /// What did not come through up to now.
+    /// Counters of datagrams not delivered so far.
     pub fn undelivered(&self) -> Undelivered {
         self.undelivered.get()
     }
--- a/lab/src/hollow/node.rs
+++ b/lab/src/hollow/node.rs
@@ -1,10 +1,10 @@
-//! One hollow node: its real membership on its real socket, with its timers, and no request path.
+//! A hollow node: its real membership on its real socket, with its timers, and no request path.
 
 use super::deliveries;
 use super::meters::Meters;
 use super::network::Network;
 use super::places::Place;
-use super::protocol::{Begin, Life, Micros, NodeReport, Numbered, Published, Word};
+use super::protocol::{Begin, Incarnation, Micros, NodeReport, Published, StatusChange, TimedSequence};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::pending;
@@ -20,67 +20,67 @@
 };
 use walkpick::peers::{DroppedDatagrams, Output, Peer, PeerStatus, Peers, PeersConfig, ViewSummary};
 
-/// A datagram of ours is never longer.
-const LARGEST: usize = 2_048;
-/// Datagrams that are read before the timers are looked at again, as with a complete node.
-const AT_ONCE: usize = 64;
-/// A publisher's epoch: one process publishes in a run, once.
+/// Upper bound on the size of datagrams between nodes.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// Datagrams read before timers are checked again, as in a complete node.
+const DATAGRAMS_PER_TURN: usize = 64;
+/// Epoch of the publisher: a run has one publisher, which is opened once.
 const EPOCH: u64 = 1;
-/// The kind of its entries and of its state.
+/// Kind of the published entries and state.
 const KIND: u16 = 1;
-/// How their payload is written: nobody reads it.
+/// Schema of the payload, which nothing decodes.
 const SCHEMA: u16 = 1;
 
-/// What all nodes of a process share.
+/// State shared by all nodes of a process.
 pub struct Shared {
-    /// What the run is.
+    /// Settings of the run.
     pub begin: Begin,
-    /// Time.
+    /// Run time.
     pub clock: super::clock::Clock,
-    /// Between the nodes.
+    /// The emulated network.
     pub network: Network,
-    /// Bytes, lateness, processor time.
+    /// Bytes, lateness, CPU time and memory.
     pub meters: Meters,
-    /// What nodes said of others that are gone.
-    pub words: RefCell<Vec<Word>>,
+    /// Changes to lost or left that nodes reported.
+    pub status_changes: RefCell<Vec<StatusChange>>,
     /// What nodes published.
     pub published: RefCell<Published>,
-    /// The node that is reached at an address.
+    /// Node numbers by address.
     pub by_address: HashMap<SocketAddr, usize>,
 }
 
-/// What a node is told to do.
+/// Command to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
-    /// To start, or to start anew.
+pub enum NodeCommand {
+    /// Start or restart.
     Start,
-    /// To be gone without a word.
+    /// Stop without notice.
     Kill,
-    /// To say farewell and be gone.
+    /// Send a leave message and stop.
     Leave,
-    /// To open its log and its state for publishing.
+    /// Open the log and the state for publishing.
     OpenPublisher,
-    /// To issue an entry of so many bytes.
+    /// Publish a log entry of this many bytes.
     PublishEntry(usize),
-    /// To issue a version of its state of so many bytes.
+    /// Publish a state version of this many bytes.
     PublishState(usize),
 }
 
-/// What others in the process see of a node.
+/// State of a node that the process reads for views and reports.
 #[derive(Debug)]
-pub struct Seen {
-    /// Its number.
+pub struct NodeState {
+    /// Number of the node.
     pub node: usize,
     /// Its view, while it runs.
     pub view: Cell<Option<ViewSummary>>,
-    /// Datagrams that its present life has dropped.
+    /// Datagrams dropped in the current incarnation.
     pub dropped: Cell<u64>,
-    /// What it has done.
+    /// Measurements, without the drops of the current incarnation.
     pub report: RefCell<NodeReport>,
 }
 
-impl Seen {
-    /// What it has done up to now.
+impl NodeState {
+    /// Measurements up to now.
     pub fn report(&self) -> NodeReport {
         let report = self.report.borrow().clone();
         NodeReport { dropped: report.dropped + self.dropped.get(), ..report }
@@ -90,27 +90,27 @@
 /// A hollow node.
 pub struct HollowNode {
     shared: Rc<Shared>,
-    seen: Rc<Seen>,
+    state: Rc<NodeState>,
     place: Place,
     address: SocketAddr,
     socket: Rc<UdpSocket>,
-    orders: mpsc::UnboundedReceiver<Order>,
+    commands: mpsc::UnboundedReceiver<NodeCommand>,
     inbox: (mpsc::UnboundedSender<Vec<u8>>, mpsc::UnboundedReceiver<Vec<u8>>),
     peers: Option<Peers>,
-    lives: u32,
+    incarnation: u32,
     buffer: Vec<u8>,
     outputs: Vec<Output>,
 }
 
 impl HollowNode {
-    /// A node that does not run yet, on a socket that stays open for as long as the process lives.
+    /// Creates a node that does not run yet. Its socket stays open for as long as the process lives.
     pub fn new(
         shared: Rc<Shared>,
         node: usize,
         socket: Rc<UdpSocket>,
-        orders: mpsc::UnboundedReceiver<Order>,
+        commands: mpsc::UnboundedReceiver<NodeCommand>,
     ) -> Self {
-        let seen = Rc::new(Seen {
+        let state = Rc::new(NodeState {
             node,
             view: Cell::new(None),
             dropped: Cell::new(0),
@@ -120,53 +120,53 @@
             place: shared.begin.map.place(node),
             address: shared.begin.addresses[node],
             shared,
-            seen,
+            state,
             socket,
-            orders,
+            commands,
             inbox: mpsc::unbounded_channel(),
             peers: None,
-            lives: 0,
-            buffer: vec![0; LARGEST],
+            incarnation: 0,
+            buffer: vec![0; MAX_DATAGRAM_BYTES],
             outputs: Vec::new(),
         }
     }
 
-    /// What others see of it.
-    pub fn seen(&self) -> Rc<Seen> {
-        self.seen.clone()
+    /// The state that the process reads.
+    pub fn state(&self) -> Rc<NodeState> {
+        self.state.clone()
     }
 
-    /// Runs for as long as its orders may come.
+    /// Runs until the channel of commands closes.
     pub async fn run(mut self) {
         loop {
             let next = self.peers.as_ref().and_then(Peers::next_wakeup);
             let timer = async {
                 match next {
-                    Some(at) => sleep_until(self.shared.clock.moment(at)).await,
+                    Some(at) => sleep_until(self.shared.clock.instant_at(at)).await,
                     None => pending().await,
                 }
             };
             tokio::select! {
-                order = self.orders.recv() => match order {
-                    Some(order) => self.obey(order),
+                command = self.commands.recv() => match command {
+                    Some(command) => self.execute(command),
                     None => return,
                 },
                 received = self.socket.recv_from(&mut self.buffer) => self.receive(received),
-                Some(datagram) = self.inbox.1.recv() => self.hand_over(&datagram),
+                Some(datagram) = self.inbox.1.recv() => self.handle_datagram(&datagram),
                 () = timer => {
-                    let late = self.shared.clock.now().saturating_sub(next.unwrap_or(0));
-                    self.shared.meters.late(late);
+                    let lateness = self.shared.clock.now().saturating_sub(next.unwrap_or(0));
+                    self.shared.meters.record_lateness(lateness);
                 }
             }
-            self.read_what_waits();
-            self.timers();
-            self.show();
+            self.drain_socket();
+            self.handle_timers();
+            self.update_state();
         }
     }
 
-    /// After a sleep the datagrams that waited go before the timers.
-    fn read_what_waits(&mut self) {
-        for _ in 0..AT_ONCE {
+    /// After a wait, queued datagrams are handled before timers.
+    fn drain_socket(&mut self) {
+        for _ in 0..DATAGRAMS_PER_TURN {
             match self.socket.try_recv_from(&mut self.buffer) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 received => self.receive(received),
@@ -177,62 +177,62 @@
     fn receive(&mut self, received: io::Result<(usize, SocketAddr)>) {
         let Ok((length, source)) = received else { return };
         let data = &self.buffer[..length];
-        if !self.shared.network.take(self.place, source, data, &self.inbox.0) {
+        if !self.shared.network.filter_received(self.place, source, data, &self.inbox.0) {
             return;
         }
         let now = self.shared.clock.now();
         if let Some(peers) = &mut self.peers {
             peers.handle_datagram(now, data, &mut self.outputs);
         }
-        self.carry_out(now);
+        self.handle_outputs(now);
     }
 
-    fn hand_over(&mut self, data: &[u8]) {
+    fn handle_datagram(&mut self, data: &[u8]) {
         let now = self.shared.clock.now();
         if let Some(peers) = &mut self.peers {
             peers.handle_datagram(now, data, &mut self.outputs);
         }
-        self.carry_out(now);
+        self.handle_outputs(now);
     }
 
-    fn timers(&mut self) {
+    fn handle_timers(&mut self) {
         let now = self.shared.clock.now();
         if let Some(peers) = &mut self.peers {
             if peers.next_wakeup().is_some_and(|at| at <= now) {
                 peers.handle_timers(now, &mut self.outputs);
             }
         }
-        self.carry_out(now);
+        self.handle_outputs(now);
     }
 
-    fn obey(&mut self, order: Order) {
+    fn execute(&mut self, command: NodeCommand) {
         let now = self.shared.clock.now();
-        match order {
-            Order::Start => self.start(now),
-            Order::Kill => self.end(),
-            Order::Leave => {
+        match command {
+            NodeCommand::Start => self.start(now),
+            NodeCommand::Kill => self.stop(),
+            NodeCommand::Leave => {
                 if let Some(peers) = &mut self.peers {
                     peers.leave(now, &mut self.outputs);
                 }
-                self.carry_out(now);
-                self.end();
+                self.handle_outputs(now);
+                self.stop();
             }
-            Order::OpenPublisher => self.publish(now, |peers, out| {
-                peers.open_publisher(now, EPOCH, 1, Vec::new(), out).map(|()| None)
+            NodeCommand::OpenPublisher => self.publish(now, |peers, outputs| {
+                peers.open_publisher(now, EPOCH, 1, Vec::new(), outputs).map(|()| None)
             }),
-            Order::PublishEntry(bytes) => self.publish(now, |peers, out| {
+            NodeCommand::PublishEntry(bytes) => self.publish(now, |peers, outputs| {
                 peers
-                    .publish_log_entry(now, KIND, SCHEMA, vec![7; bytes], out)
+                    .publish_log_entry(now, KIND, SCHEMA, vec![7; bytes], outputs)
                     .map(|entry| Some((Channel::Log, entry)))
             }),
-            Order::PublishState(bytes) => self.publish(now, |peers, out| {
-                let version = peers.publish_state(now, KIND, SCHEMA, vec![7; bytes], out)?;
+            NodeCommand::PublishState(bytes) => self.publish(now, |peers, outputs| {
+                let version = peers.publish_state(now, KIND, SCHEMA, vec![7; bytes], outputs)?;
                 Ok(Some((Channel::State(KIND), version)))
             }),
         }
     }
 
-    /// Has its membership publish something, and notes what came of it.
+    /// Publishes something, and records the result.
     fn publish(
         &mut self,
         now: Micros,
@@ -243,19 +243,19 @@
         {
             let published = &mut *self.shared.published.borrow_mut();
             match issued {
-                Ok(Some((Channel::Log, number))) => published.entries.push(Numbered { number, at: now }),
+                Ok(Some((Channel::Log, number))) => published.entries.push(TimedSequence { number, at: now }),
                 Ok(Some((Channel::State(_), number))) => {
-                    published.versions.push(Numbered { number, at: now })
+                    published.versions.push(TimedSequence { number, at: now })
                 }
                 Ok(None) => {}
                 Err(_) => published.refused += 1,
             }
         }
-        self.carry_out(now);
+        self.handle_outputs(now);
     }
 
-    /// What dissemination tells this node.
-    fn hear(&mut self, now: Micros, output: DisseminationOutput) {
+    /// Handles an output of dissemination.
+    fn handle_dissemination(&mut self, now: Micros, output: DisseminationOutput) {
         if let DisseminationOutput::StateOffered { publisher, entry } = &output {
             let key = StateKey { publisher: *publisher, kind: entry.kind };
             if let Some(peers) = &mut self.peers {
@@ -263,77 +263,80 @@
             }
             return;
         }
-        deliveries::note(&output, now, &mut self.seen.report.borrow_mut().lives);
-        deliveries::note_published(&output, now, &mut self.shared.published.borrow_mut());
+        deliveries::record_delivery(&output, now, &mut self.state.report.borrow_mut().incarnations);
+        deliveries::record_published(&output, now, &mut self.shared.published.borrow_mut());
     }
 
     fn start(&mut self, now: Micros) {
-        self.end();
-        self.lives += 1;
+        self.stop();
+        self.incarnation += 1;
         let begin = &self.shared.begin;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let draw = begin.seed ^ (self.seen.node as u64) << 20 ^ u64::from(self.lives) << 48;
+        let seed = begin.seed ^ (self.state.node as u64) << 20 ^ u64::from(self.incarnation) << 48;
         let me = Peer {
             address: self.address,
             generation: u64::try_from(unix.as_micros()).unwrap_or(u64::MAX),
-            salt: self.lives,
+            salt: self.incarnation,
             observer: false,
-            name: name(self.seen.node),
+            name: name(self.state.node),
             metadata: self.place.location().encode(),
         };
-        self.seen.report.borrow_mut().lives.push(Life { from: now, ..Life::default() });
-        self.peers = Some(Peers::new(configuration(begin), me, draw, now));
+        self.state
+            .report
+            .borrow_mut()
+            .incarnations
+            .push(Incarnation { started_at: now, ..Incarnation::default() });
+        self.peers = Some(Peers::new(configuration(begin), me, seed, now));
     }
 
-    fn end(&mut self) {
-        self.show();
+    fn stop(&mut self) {
+        self.update_state();
         self.peers = None;
-        self.seen.report.borrow_mut().dropped += self.seen.dropped.take();
-        self.seen.view.set(None);
+        self.state.report.borrow_mut().dropped += self.state.dropped.take();
+        self.state.view.set(None);
     }
 
-    fn show(&self) {
-        self.seen.view.set(self.peers.as_ref().map(Peers::summary));
+    fn update_state(&self) {
+        self.state.view.set(self.peers.as_ref().map(Peers::summary));
         if let Some(peers) = &self.peers {
-            let DroppedDatagrams { foreign, malformed, rate_limited: flood, too_many_peers: crowd } =
-                peers.dropped();
-            self.seen.dropped.set(foreign + malformed + flood + crowd);
+            let DroppedDatagrams { foreign, malformed, rate_limited, too_many_peers } = peers.dropped();
+            self.state.dropped.set(foreign + malformed + rate_limited + too_many_peers);
         }
     }
 
-    fn carry_out(&mut self, now: Micros) {
-        // What is heard may give rise to more.
+    fn handle_outputs(&mut self, now: Micros) {
+        // Handling an output may produce further outputs.
         while !self.outputs.is_empty() {
             for output in std::mem::take(&mut self.outputs) {
-                self.carry_out_one(now, output);
+                self.handle_output(now, output);
             }
         }
     }
 
-    fn carry_out_one(&mut self, now: Micros, output: Output) {
+    fn handle_output(&mut self, now: Micros, output: Output) {
         match output {
             Output::Send { to, data } => {
-                super::meters::count_bytes(&mut self.seen.report.borrow_mut(), now, data.len());
+                super::meters::count_sent(&mut self.state.report.borrow_mut(), now, data.len());
                 self.shared.network.send(self.place, &self.socket, to, data);
             }
-            Output::StatusChanged { peer, status: standing @ (PeerStatus::Lost | PeerStatus::Left) } => {
-                let Some(&of) = self.shared.by_address.get(&peer.address) else { return };
-                let word = Word { at: now, by: self.seen.node, of, standing };
-                self.shared.words.borrow_mut().push(word);
+            Output::StatusChanged { peer, status: status @ (PeerStatus::Lost | PeerStatus::Left) } => {
+                let Some(&subject) = self.shared.by_address.get(&peer.address) else { return };
+                let change = StatusChange { at: now, reporter: self.state.node, subject, status };
+                self.shared.status_changes.borrow_mut().push(change);
             }
-            Output::Rejoined => self.seen.report.borrow_mut().came_back += 1,
-            Output::Dissemination(output) => self.hear(now, output),
+            Output::Rejoined => self.state.report.borrow_mut().rejoined += 1,
+            Output::Dissemination(output) => self.handle_dissemination(now, output),
             _ => {}
         }
     }
 }
 
-/// A hollow node's name.
+/// Name of a hollow node.
 pub fn name(node: usize) -> String {
     format!("h{node}")
 }
 
-/// The configuration of every hollow node.
+/// Membership configuration of every hollow node.
 fn configuration(begin: &Begin) -> PeersConfig {
     PeersConfig {
         cluster: begin.cluster.clone(),
--- a/lab/src/hollow/process.rs
+++ b/lab/src/hollow/process.rs
@@ -1,12 +1,12 @@
-//! A hollow process: many hollow nodes on one thread. It is told what to do on its standard input, tells what it measured
-//! on its standard output, and ends when either is closed.
+//! A hollow process: many hollow nodes on one thread. It receives messages on standard input, sends its measurements on
+//! standard output, and ends when either is closed.
 
 use super::clock::Clock;
-use super::meters::{memory, queue_full, Meters};
+use super::meters::{queue_full, resident_bytes, Meters};
 use super::network::Network;
-use super::node::{HollowNode, Order, Seen, Shared};
+use super::node::{HollowNode, NodeCommand, NodeState, Shared};
 use super::protocol::{
-    Begin, Event, FromProcess, Happening, Micros, NodeToOpen, Report, ToProcess, ViewsOfProcess,
+    Begin, Event, EventKind, FromProcess, Micros, NodeToOpen, ProcessViews, Report, ToProcess,
 };
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,45 +21,48 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{interval, sleep_until, MissedTickBehavior};
 
-/// How often the views of its nodes are told.
-const LOOK: Duration = Duration::from_millis(100);
-/// Looks between two notes of processor time and memory.
-const LOOKS_PER_USAGE: u64 = 10;
+/// Interval between reports of the nodes' views.
+const VIEW_INTERVAL: Duration = Duration::from_millis(100);
+/// View reports between two samples of CPU time and memory.
+const VIEWS_PER_USAGE_SAMPLE: u64 = 10;
 
-/// Why a process ends before its run is over.
+/// Failure that ends a process before the end of its run.
 #[derive(Debug, Error)]
-pub enum ProcessFault {
-    /// The system refused something.
+pub enum ProcessError {
+    /// A system call failed.
     #[error("{what}: {error}")]
     System {
-        /// What was tried.
+        /// What the call was for.
         what: &'static str,
-        /// Why it failed.
+        /// The I/O error.
         error: io::Error,
     },
-    /// The lab sent what it does not understand.
-    #[error("a message of the lab cannot be read: {0}")]
+    /// A message of the lab could not be decoded.
+    #[error("cannot decode a message of the lab: {0}")]
     Message(#[from] serde_json::Error),
-    /// The lab sent something out of turn.
-    #[error("a message of the lab came out of turn, expected: {expected}")]
-    OutOfTurn {
-        /// What was expected.
+    /// A message of the lab came out of order.
+    #[error("unexpected message of the lab, expected: {expected}")]
+    UnexpectedMessage {
+        /// The expected message.
         expected: &'static str,
     },
 }
 
-fn system(what: &'static str) -> impl FnOnce(io::Error) -> ProcessFault {
-    move |error| ProcessFault::System { what, error }
+fn system(what: &'static str) -> impl FnOnce(io::Error) -> ProcessError {
+    move |error| ProcessError::System { what, error }
 }
 
-/// Serves the lab that started this process, to the end of the run or of the lab.
-pub fn serve() -> Result<(), ProcessFault> {
-    let runtime = runtime::Builder::new_current_thread().enable_all().build().map_err(system("a runtime"))?;
+/// Serves the lab that started this process until the run or the lab ends.
+pub fn serve() -> Result<(), ProcessError> {
+    let runtime = runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(system("cannot create the runtime"))?;
     let lines = read_lines();
     LocalSet::new().block_on(&runtime, serve_lines(lines))
 }
 
-/// The lines of the standard input; the channel closes with it.
+/// The lines of standard input; the channel closes at its end.
 fn read_lines() -> mpsc::UnboundedReceiver<String> {
     let (sender, receiver) = mpsc::unbounded_channel();
     std::thread::spawn(move || {
@@ -72,29 +75,29 @@
     receiver
 }
 
-async fn serve_lines(mut lines: mpsc::UnboundedReceiver<String>) -> Result<(), ProcessFault> {
-    // Without a word of the lab there is nothing to do, and nobody to tell.
+async fn serve_lines(mut lines: mpsc::UnboundedReceiver<String>) -> Result<(), ProcessError> {
+    // The lab has ended: there is nothing to do and nobody to report to.
     let Some(line) = lines.recv().await else { return Ok(()) };
     let ToProcess::Open { nodes } = serde_json::from_str(&line)? else {
-        return Err(ProcessFault::OutOfTurn { expected: "open" });
+        return Err(ProcessError::UnexpectedMessage { expected: "open" });
     };
-    let sockets = open(&nodes).await.map_err(system("the nodes' sockets"))?;
+    let sockets = open(&nodes).await.map_err(system("cannot open the nodes' sockets"))?;
     let addresses = sockets.iter().map(|socket| socket.local_addr()).collect::<io::Result<Vec<_>>>();
-    say(&FromProcess::Opened { addresses: addresses.map_err(system("a socket's address"))? })?;
+    send(&FromProcess::Opened { addresses: addresses.map_err(system("cannot read a socket's address"))? })?;
     let Some(line) = lines.recv().await else { return Ok(()) };
     let ToProcess::Begin(begin) = serde_json::from_str(&line)? else {
-        return Err(ProcessFault::OutOfTurn { expected: "begin" });
+        return Err(ProcessError::UnexpectedMessage { expected: "begin" });
     };
     let run = Run::new(*begin, &nodes, sockets)?;
-    let end = run.shared.clock.moment(run.shared.begin.end);
-    let over = tokio::select! {
-        ended = run.go() => ended.map(|()| true),
+    let end = run.shared.clock.instant_at(run.shared.begin.end);
+    let finished = tokio::select! {
+        ended = run.run_events() => ended.map(|()| true),
         () = sleep_until(end) => Ok(true),
-        // The lab has seen enough, or is gone.
+        // The lab asks for an early end, or has ended itself.
         line = lines.recv() => Ok(line.is_some()),
     };
-    if over? {
-        say(&FromProcess::Report(Box::new(run.report())))?;
+    if finished? {
+        send(&FromProcess::Report(Box::new(run.report())))?;
     }
     Ok(())
 }
@@ -107,120 +110,127 @@
     Ok(sockets)
 }
 
-fn say(message: &FromProcess) -> Result<(), ProcessFault> {
+fn send(message: &FromProcess) -> Result<(), ProcessError> {
     let mut line = serde_json::to_vec(message)?;
     line.push(b'\n');
     let mut out = io::stdout().lock();
-    out.write_all(&line).and_then(|()| out.flush()).map_err(system("a word to the lab"))
+    out.write_all(&line).and_then(|()| out.flush()).map_err(system("cannot write to the lab"))
 }
 
-/// A run as this process has it.
+/// The part of a run that this process executes.
 struct Run {
     shared: Rc<Shared>,
-    orders: HashMap<usize, mpsc::UnboundedSender<Order>>,
-    seen: Vec<Rc<Seen>>,
+    commands: HashMap<usize, mpsc::UnboundedSender<NodeCommand>>,
+    nodes: Vec<Rc<NodeState>>,
     memory_before: u64,
 }
 
 impl Run {
-    fn new(begin: Begin, nodes: &[NodeToOpen], sockets: Vec<Rc<UdpSocket>>) -> Result<Self, ProcessFault> {
+    fn new(begin: Begin, nodes: &[NodeToOpen], sockets: Vec<Rc<UdpSocket>>) -> Result<Self, ProcessError> {
         let clock = Clock::new(begin.origin);
-        let draws = nodes.first().map_or(0, |node| node.node as u64);
+        let stream = nodes.first().map_or(0, |node| node.node as u64);
         let advertised: Vec<SocketAddr> = begin.complete.iter().map(|node| node.advertise).collect();
-        let reached = begin.addresses.iter().chain(&advertised);
+        let addresses = begin.addresses.iter().chain(&advertised);
         let shared = Rc::new(Shared {
-            by_address: reached.enumerate().map(|(node, address)| (*address, node)).collect(),
-            network: Network::new(&begin, clock, draws),
-            meters: Meters::new().map_err(system("a histogram"))?,
-            words: RefCell::default(),
+            by_address: addresses.enumerate().map(|(node, address)| (*address, node)).collect(),
+            network: Network::new(&begin, clock, stream),
+            meters: Meters::new().map_err(system("cannot create the histogram of lateness"))?,
+            status_changes: RefCell::default(),
             published: RefCell::default(),
             clock,
             begin,
         });
-        let mut run = Self { shared, orders: HashMap::new(), seen: Vec::new(), memory_before: memory() };
+        let mut run =
+            Self { shared, commands: HashMap::new(), nodes: Vec::new(), memory_before: resident_bytes() };
         for (node, socket) in nodes.iter().zip(sockets) {
-            let (sender, orders) = mpsc::unbounded_channel();
-            let hollow = HollowNode::new(run.shared.clone(), node.node, socket, orders);
-            run.seen.push(hollow.seen());
-            run.orders.insert(node.node, sender);
+            let (sender, commands) = mpsc::unbounded_channel();
+            let hollow = HollowNode::new(run.shared.clone(), node.node, socket, commands);
+            run.nodes.push(hollow.state());
+            run.commands.insert(node.node, sender);
             spawn_local(hollow.run());
         }
         Ok(run)
     }
 
-    /// Runs the schedule, and tells what the nodes see.
-    async fn go(&self) -> Result<(), ProcessFault> {
-        let held = self.shared.clone();
-        spawn_local(async move { held.network.deliver(|late| held.meters.late(late)).await });
+    /// Executes the events of the schedule, and reports the nodes' views.
+    async fn run_events(&self) -> Result<(), ProcessError> {
+        let shared = self.shared.clone();
+        spawn_local(async move {
+            shared.network.deliver(|lateness| shared.meters.record_lateness(lateness)).await
+        });
         let mut events = self.shared.begin.events.iter().peekable();
-        let mut look = interval(LOOK);
-        look.set_missed_tick_behavior(MissedTickBehavior::Skip);
-        let mut looks = 0;
+        let mut view_timer = interval(VIEW_INTERVAL);
+        view_timer.set_missed_tick_behavior(MissedTickBehavior::Skip);
+        let mut ticks = 0;
         loop {
             let next = events.peek().map_or(Micros::MAX / 2, |event| event.at);
             tokio::select! {
-                () = sleep_until(self.shared.clock.moment(next)), if events.peek().is_some() => {
+                () = sleep_until(self.shared.clock.instant_at(next)), if events.peek().is_some() => {
                     if let Some(event) = events.next() {
-                        self.shared.meters.late(self.shared.clock.now().saturating_sub(event.at));
-                        self.happen(event);
+                        self.shared.meters.record_lateness(self.shared.clock.now().saturating_sub(event.at));
+                        self.apply_event(event);
                     }
                 }
-                _ = look.tick() => {
-                    self.tell_views()?;
-                    if looks % LOOKS_PER_USAGE == 0 {
-                        self.shared.meters.look(self.shared.clock.now());
+                _ = view_timer.tick() => {
+                    self.send_views()?;
+                    if ticks % VIEWS_PER_USAGE_SAMPLE == 0 {
+                        self.shared.meters.sample_usage(self.shared.clock.now());
                     }
-                    looks += 1;
+                    ticks += 1;
                 }
             }
         }
     }
 
-    fn happen(&self, event: &Event) {
-        match event.what {
-            Happening::Start(node) => self.order(node, Order::Start),
-            Happening::Kill(node) => self.order(node, Order::Kill),
-            Happening::Leave(node) => self.order(node, Order::Leave),
-            Happening::Cut(region) => self.shared.network.cut(region, true),
-            Happening::Heal(region) => self.shared.network.cut(region, false),
-            Happening::OpenPublisher(node) => self.order(node, Order::OpenPublisher),
-            Happening::PublishEntry { node, bytes } => self.order(node, Order::PublishEntry(bytes)),
-            Happening::PublishState { node, bytes } => self.order(node, Order::PublishState(bytes)),
+    fn apply_event(&self, event: &Event) {
+        match event.kind {
+            EventKind::Start(node) => self.send_command(node, NodeCommand::Start),
+            EventKind::Kill(node) => self.send_command(node, NodeCommand::Kill),
+            EventKind::Leave(node) => self.send_command(node, NodeCommand::Leave),
+            EventKind::Cut(region) => self.shared.network.set_region_cut(region, true),
+            EventKind::Heal(region) => self.shared.network.set_region_cut(region, false),
+            EventKind::OpenPublisher(node) => self.send_command(node, NodeCommand::OpenPublisher),
+            EventKind::PublishEntry { node, bytes } => {
+                self.send_command(node, NodeCommand::PublishEntry(bytes))
+            }
+            EventKind::PublishState { node, bytes } => {
+                self.send_command(node, NodeCommand::PublishState(bytes))
+            }
         }
     }
 
-    /// Orders of nodes that other processes hold are not this one's.
-    fn order(&self, node: usize, order: Order) {
-        if let Some(orders) = self.orders.get(&node) {
-            // Nodes take orders for as long as the process runs.
-            let _ = orders.send(order);
+    /// Sends a command to a node; does nothing if another process holds the node.
+    fn send_command(&self, node: usize, command: NodeCommand) {
+        if let Some(commands) = self.commands.get(&node) {
+            // Nodes receive commands for as long as the process runs.
+            let _ = commands.send(command);
         }
     }
 
-    fn tell_views(&self) -> Result<(), ProcessFault> {
-        let views = self.seen.iter().filter_map(|seen| seen.view.get());
-        say(&FromProcess::Views(ViewsOfProcess::new(self.shared.clock.now(), views)))
+    fn send_views(&self) -> Result<(), ProcessError> {
+        let views = self.nodes.iter().filter_map(|node| node.view.get());
+        send(&FromProcess::Views(ProcessViews::new(self.shared.clock.now(), views)))
     }
 
     fn addresses(&self) -> Vec<SocketAddr> {
-        self.seen.iter().map(|seen| self.shared.begin.addresses[seen.node]).collect()
+        self.nodes.iter().map(|node| self.shared.begin.addresses[node.node]).collect()
     }
 
     fn report(&self) -> Report {
         let shared = &self.shared;
-        shared.meters.look(shared.clock.now());
-        let (late_p99, late_most) = shared.meters.lateness();
+        shared.meters.sample_usage(shared.clock.now());
+        let (lateness_p99_us, lateness_max_us) = shared.meters.lateness_p99_and_max();
         let undelivered = shared.network.undelivered();
         Report {
-            nodes: self.seen.iter().map(|seen| seen.report()).collect(),
-            words: shared.words.borrow().clone(),
+            nodes: self.nodes.iter().map(|node| node.report()).collect(),
+            status_changes: shared.status_changes.borrow().clone(),
             published: shared.published.borrow().clone(),
             usage: shared.meters.usage(),
             memory_before: self.memory_before,
-            late_p99,
-            late_most,
+            lateness_p99_us,
+            lateness_max_us,
             lost: undelivered.lost,
-            not_carried: undelivered.not_carried,
+            overflowed: undelivered.overflowed,
             refused: undelivered.refused,
             queue_full: queue_full(&self.addresses()),
         }
--- a/lab/src/hollow/protocol.rs
+++ b/lab/src/hollow/protocol.rs
@@ -1,5 +1,5 @@
-//! What the lab and its hollow processes tell each other, one JSON object a line: the lab on the process's standard
-//! input, the process on its standard output.
+//! Messages between the lab and its hollow processes, one JSON object per line: from the lab on the standard input of
+//! the process, from the process on its standard output.
 
 use super::places::Map;
 use serde::{Deserialize, Serialize};
@@ -9,18 +9,18 @@
 /// Microseconds since the run's origin, on the machine's monotonic clock, which all processes share.
 pub type Micros = u64;
 
-/// From the lab to a process.
+/// Message from the lab to a process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "message", rename_all = "kebab-case")]
 pub enum ToProcess {
-    /// Opens the sockets of its nodes.
+    /// Open the sockets of these nodes.
     Open {
-        /// Its nodes.
+        /// The nodes of this process.
         nodes: Vec<NodeToOpen>,
     },
-    /// Runs the schedule.
+    /// Execute the schedule.
     Begin(Box<Begin>),
-    /// Tells what was measured up to now, and ends.
+    /// Send the measurements so far, and end.
     End,
 }
 
@@ -29,265 +29,280 @@
 pub struct NodeToOpen {
     /// Its number in the cluster.
     pub node: usize,
-    /// Its own address; the port is the system's choice.
+    /// Its own address; the system chooses the port.
     pub address: Ipv4Addr,
 }
 
-/// All that a process needs for its run.
+/// Settings of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Begin {
-    /// When the run begins, in microseconds of the machine's monotonic clock.
+    /// Origin of the run, in microseconds of the machine's monotonic clock.
     pub origin: u64,
-    /// The cluster's name.
+    /// Name of the cluster.
     pub cluster: String,
-    /// Where each hollow node is reached, by its number.
+    /// Addresses of the hollow nodes, by number.
     pub addresses: Vec<SocketAddr>,
     /// The complete nodes of the cluster.
     pub complete: Vec<CompleteAddresses>,
-    /// Whom nodes ask when they join, by number.
+    /// Numbers of the nodes that a joining node contacts.
     pub seeds: Vec<usize>,
-    /// Each node probes another one so often, in microseconds.
+    /// Probe interval, in microseconds.
     pub probe_every: u64,
-    /// An answer that takes longer is asked for by way of others, in microseconds.
+    /// Timeout of a direct probe before indirect probes are sent, in microseconds.
     pub probe_timeout: u64,
     /// Whether nodes take part in dissemination.
     pub dissemination: bool,
     /// Regions and delays.
     pub map: Map,
-    /// Part of the datagrams that are lost.
+    /// Fraction of datagrams lost.
     pub loss: f64,
-    /// For the random draws.
+    /// Seed of random draws.
     pub seed: u64,
-    /// What happens, in its order.
+    /// Events in order of time.
     pub events: Vec<Event>,
     /// When the run ends.
     pub end: Micros,
 }
 
-/// Where a complete node is reached, and where its own datagrams come from.
+/// Addresses of a complete node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompleteAddresses {
     /// Where others reach it.
     pub advertise: SocketAddr,
-    /// Where its datagrams come from.
+    /// Source of its datagrams.
     pub source: SocketAddr,
 }
 
-/// Something that happens at a time.
+/// A scheduled event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// When.
+    /// When it happens.
     pub at: Micros,
-    /// What.
-    pub what: Happening,
+    /// What happens.
+    #[serde(rename = "what")]
+    pub kind: EventKind,
 }
 
-/// What can happen.
+/// Kinds of events.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Happening {
-    /// A node starts, or starts anew.
+pub enum EventKind {
+    /// A node starts or restarts.
     Start(usize),
-    /// A node is gone without a word.
+    /// A node stops without notice.
     Kill(usize),
-    /// A node says farewell and is gone.
+    /// A node sends a leave message and stops.
     Leave(usize),
-    /// A region loses all others.
+    /// A region is cut off from all others.
     Cut(usize),
-    /// It has them back.
+    /// A region is reconnected.
     Heal(usize),
     /// A node opens its log and its state for publishing.
     OpenPublisher(usize),
-    /// It issues an entry of its log.
+    /// A node publishes a log entry.
     PublishEntry {
-        /// Which node.
+        /// Number of the node.
         node: usize,
-        /// Bytes of the entry.
+        /// Size of the entry.
         bytes: usize,
     },
-    /// It issues a version of its state.
+    /// A node publishes a state version.
     PublishState {
-        /// Which node.
+        /// Number of the node.
         node: usize,
-        /// Bytes of the state.
+        /// Size of the state.
         bytes: usize,
     },
 }
 
-/// From a process to the lab.
+/// Message from a process to the lab.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "message", rename_all = "kebab-case")]
 pub enum FromProcess {
-    /// Its sockets are open.
+    /// The sockets are open.
     Opened {
-        /// Where its nodes are reached, in the order asked for.
+        /// Addresses of the nodes, in the order of the request.
         addresses: Vec<SocketAddr>,
     },
-    /// What its nodes see, several times a second.
-    Views(ViewsOfProcess),
-    /// All that it measured. It ends after this.
+    /// Views of the nodes, sent several times a second.
+    Views(ProcessViews),
+    /// All measurements. The process ends after this.
     Report(Box<Report>),
 }
 
-/// The views of a process's nodes, in short.
+/// Summary of the views of a process's nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ViewsOfProcess {
-    /// When.
+pub struct ProcessViews {
+    /// When it was taken.
     pub at: Micros,
-    /// Its nodes that run.
+    /// Number of running nodes.
     pub running: u32,
-    /// The fewest nodes that one of them sees.
-    pub fewest: u32,
-    /// The most.
-    pub most: u32,
-    /// Whether all say that views agree.
+    /// The smallest number of nodes in a view.
+    #[serde(rename = "fewest")]
+    pub min_nodes: u32,
+    /// The largest number of nodes in a view.
+    #[serde(rename = "most")]
+    pub max_nodes: u32,
+    /// Whether all nodes report that views agree.
     pub agreed: bool,
-    /// The digest of their views, where it is the same for all.
+    /// The digest of the views, if it is the same for all.
     pub digest: Option<u64>,
 }
 
-impl ViewsOfProcess {
-    /// Sums up the views of nodes that run.
+impl ProcessViews {
+    /// Summarizes the views of running nodes.
     pub fn new(at: Micros, views: impl Iterator<Item = walkpick::peers::ViewSummary>) -> Self {
         let mut views = views.peekable();
         let digest = views.peek().map(|view| view.digest);
-        let none = Self { at, running: 0, fewest: u32::MAX, most: 0, agreed: true, digest };
+        let none = Self { at, running: 0, min_nodes: u32::MAX, max_nodes: 0, agreed: true, digest };
         views.fold(none, |sum, view| Self {
             at,
             running: sum.running + 1,
-            fewest: sum.fewest.min(view.nodes),
-            most: sum.most.max(view.nodes),
+            min_nodes: sum.min_nodes.min(view.nodes),
+            max_nodes: sum.max_nodes.max(view.nodes),
             agreed: sum.agreed && view.agreement == Agreement::Agreed,
             digest: sum.digest.filter(|digest| *digest == view.digest),
         })
     }
 }
 
-/// What a process has measured.
+/// Measurements of a process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// Of each of its nodes.
+    /// Measurements of each of its nodes.
     pub nodes: Vec<NodeReport>,
-    /// What its nodes said of others that are gone.
-    pub words: Vec<Word>,
-    /// What its nodes published, and heard of that.
+    /// Changes to lost or left that its nodes reported.
+    #[serde(rename = "words")]
+    pub status_changes: Vec<StatusChange>,
+    /// What its nodes published, and how that was acknowledged.
     pub published: Published,
-    /// Processor time and memory, once a second.
+    /// CPU time and memory, sampled once a second.
     pub usage: Vec<Usage>,
-    /// Memory that it held before its nodes started, in bytes.
+    /// Resident memory before its nodes started, in bytes.
     pub memory_before: u64,
-    /// How late timers and deliveries were: the 99th percentile, in microseconds.
-    pub late_p99: u64,
-    /// The latest one.
-    pub late_most: u64,
-    /// Datagrams that were to be lost, and those that no cut region let through.
+    /// Lateness of timers and deliveries: 99th percentile, in microseconds.
+    #[serde(rename = "late_p99")]
+    pub lateness_p99_us: u64,
+    /// Lateness of timers and deliveries: maximum, in microseconds.
+    #[serde(rename = "late_most")]
+    pub lateness_max_us: u64,
+    /// Datagrams lost at random or between partitioned regions.
     pub lost: u64,
-    /// Datagrams that the lab itself could not carry: they make the run void.
-    pub not_carried: u64,
-    /// Datagrams that the system did not take.
+    /// Datagrams dropped because too many were delayed: they make the run void.
+    #[serde(rename = "not_carried")]
+    pub overflowed: u64,
+    /// Datagrams that the system rejected on sending.
     pub refused: u64,
-    /// Datagrams that came for its nodes and found the socket's queue full.
+    /// Received datagrams dropped because the socket's queue was full.
     pub queue_full: u64,
 }
 
-/// What a node did.
+/// Measurements of a node.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct NodeReport {
     /// Its number.
     pub node: usize,
-    /// Bytes that it sent, by second of the run: payload of datagrams.
+    /// Bytes sent in each second of the run, datagram payload only.
     pub bytes: Vec<u32>,
-    /// Datagrams that it sent.
+    /// Datagrams sent.
     pub datagrams: u64,
-    /// How often it came back after others had declared it gone.
-    pub came_back: u32,
-    /// Datagrams that it dropped for one of the reasons that peers count.
+    /// How often it rejoined after others had declared it lost.
+    #[serde(rename = "came_back")]
+    pub rejoined: u32,
+    /// Datagrams that its membership dropped, for any reason.
     pub dropped: u64,
-    /// What came to it of publishers' logs and states, by life.
-    pub lives: Vec<Life>,
+    /// What it received of publishers' logs and states, by incarnation.
+    #[serde(rename = "lives")]
+    pub incarnations: Vec<Incarnation>,
 }
 
-/// What came to one life of a node.
+/// What one incarnation of a node received.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Life {
-    /// When it began.
-    pub from: Micros,
-    /// Entries of the log, as they were handed over.
-    pub entries: Vec<Numbered>,
-    /// Versions of the state that were in force, as they came.
-    pub versions: Vec<Numbered>,
-    /// Entries that it was told to be left out.
+pub struct Incarnation {
+    /// When it started.
+    #[serde(rename = "from")]
+    pub started_at: Micros,
+    /// Log entries, in the order of delivery.
+    pub entries: Vec<TimedSequence>,
+    /// State versions that came into force, in order.
+    pub versions: Vec<TimedSequence>,
+    /// Log resets.
     pub resets: Vec<Reset>,
 }
 
-/// An entry or a version, and when something became of it.
+/// The sequence number of an entry or version, and the time of what happened to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Numbered {
-    /// Its sequence or version.
+pub struct TimedSequence {
+    /// Sequence number or version.
     pub number: u64,
-    /// When.
+    /// When it happened.
     pub at: Micros,
 }
 
-/// Entries that are left out.
+/// A log reset: entries that the node skips.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reset {
-    /// When that was told.
+    /// When it was received.
     pub at: Micros,
-    /// The last one before them.
+    /// The last entry before the skipped ones.
     pub after: u64,
-    /// The last one of them.
+    /// The last skipped entry.
     pub through: u64,
 }
 
-/// What was published, and what became of it as its publisher was told.
+/// What was published, and what the publisher learned of its delivery.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Published {
-    /// Entries of the log.
-    pub entries: Vec<Numbered>,
-    /// Versions of the state.
-    pub versions: Vec<Numbered>,
-    /// What could not be published.
+    /// Log entries.
+    pub entries: Vec<TimedSequence>,
+    /// State versions.
+    pub versions: Vec<TimedSequence>,
+    /// Entries and versions that could not be published.
     pub refused: u64,
     /// Entries that all present nodes have applied.
     pub entries_acknowledged: Vec<Acknowledged>,
     /// Versions that are in force at all present nodes.
     pub versions_acknowledged: Vec<Acknowledged>,
-    /// How often the publisher was told who lacks something.
+    /// How often the publisher was notified of nodes without acknowledgement.
     pub unacknowledged: u64,
 }
 
-/// A publisher's word that all present nodes have applied something.
+/// Notification that all present nodes have applied an entry or version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acknowledged {
-    /// The entry or version.
+    /// Sequence number or version.
     pub number: u64,
-    /// When that was told.
+    /// When the publisher was notified.
     pub at: Micros,
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: u32,
 }
 
-/// A node's word on another one.
+/// A change of a node's status, as reported by another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
-    /// When.
+pub struct StatusChange {
+    /// When it was reported.
     pub at: Micros,
-    /// Who said it.
-    pub by: usize,
-    /// Of whom.
-    pub of: usize,
-    /// What became of it: lost or left.
-    pub standing: PeerStatus,
+    /// The node that reports it.
+    #[serde(rename = "by")]
+    pub reporter: usize,
+    /// The node whose status changed.
+    #[serde(rename = "of")]
+    pub subject: usize,
+    /// The new status: lost or left.
+    #[serde(rename = "standing")]
+    pub status: PeerStatus,
 }
 
-/// Processor time and memory of a process.
+/// CPU time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// When.
+    /// When they were sampled.
     pub at: Micros,
-    /// Processor time since its start, in microseconds.
-    pub processor: u64,
-    /// Memory that it holds, in bytes.
-    pub memory: u64,
+    /// CPU time since the start of the process, in microseconds.
+    #[serde(rename = "processor")]
+    pub cpu_us: u64,
+    /// Resident memory, in bytes.
+    #[serde(rename = "memory")]
+    pub memory_bytes: u64,
 }
--- a/lab/src/hollow/run.rs
+++ b/lab/src/hollow/run.rs
@@ -1,11 +1,11 @@
-//! One run: the machine is asked, processes are started and told what to do, and what they tell becomes figures.
+//! One run: checks the machine, starts the processes, sends them the schedule, and computes figures from their reports.
 
-use super::children::{ChildError, HollowProcess, Listening, What};
+use super::children::{ChildError, HollowProcess, ProcessGroup, ProcessMessage};
 use super::clock;
-use super::complete::{Complete, CompleteEnd, CompleteError, CompleteOptions};
+use super::complete::{Complete, CompleteError, CompleteOptions, CompleteResult};
 use super::deliveries::delivery_figures;
-use super::figures::{figures, Told, Watch};
-use super::machine::{Need, TooLarge};
+use super::figures::{figures, ConvergenceTracker, RunData};
+use super::machine::{Requirements, TooLarge};
 use super::protocol::{Begin, NodeToOpen};
 use super::schedule::Schedule;
 use super::settings::Hollow;
@@ -22,21 +22,21 @@
 use tokio::task::LocalSet;
 use tokio::time::{interval, timeout};
 
-/// Nodes that all others ask when they join.
+/// Number of nodes that all others contact when they join.
 const SEEDS: usize = 3;
-/// Between the word to begin and the beginning.
-const AHEAD: Duration = Duration::from_millis(500);
-/// After the end of its schedule a run has this long to tell everything.
-const TELL: Duration = Duration::from_secs(30);
-/// How often the lab looks whether it is to stop.
-const STOP: Duration = Duration::from_millis(100);
+/// Time from sending the schedule to the origin of the run.
+const START_DELAY: Duration = Duration::from_millis(500);
+/// Time limit for all reports after the end of the schedule.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
+/// How often the lab checks whether it is to stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Nodes of one run that share the first three bytes of their addresses.
-const PER_SUBNET: usize = 250;
+const NODES_PER_SUBNET: usize = 250;
 
-/// Why a run came to nothing.
+/// Why a run failed.
 #[derive(Debug, Error)]
 pub enum HollowError {
-    /// This machine cannot hold it.
+    /// The run exceeds the limits of this machine.
     #[error(transparent)]
     TooLarge(#[from] TooLarge),
     /// A hollow process failed.
@@ -45,92 +45,92 @@
     /// The complete nodes failed.
     #[error(transparent)]
     Complete(#[from] CompleteError),
-    /// The system refused something.
+    /// A system call failed.
     #[error("{what}: {error}")]
     System {
-        /// What was tried.
+        /// What the call was for.
         what: &'static str,
-        /// Why it failed.
+        /// The I/O error.
         error: io::Error,
     },
-    /// The processes did not tell everything in time.
-    #[error("{missing} of {all} hollow processes have not told what they measured")]
-    Silent {
-        /// How many.
+    /// Reports were not received in time.
+    #[error("{missing} of {all} hollow processes did not report in time")]
+    MissingReports {
+        /// Number of missing reports.
         missing: usize,
-        /// Of how many.
+        /// Number of processes.
         all: usize,
     },
 }
 
-/// What one run is.
+/// Parameters of one run.
 #[derive(Clone, Debug)]
 pub struct RunPlan {
-    /// Hollow nodes.
+    /// Number of hollow nodes.
     pub nodes: usize,
-    /// Part of the datagrams that are lost.
+    /// Fraction of datagrams lost.
     pub loss: f64,
-    /// For the random draws.
+    /// Seed of random draws.
     pub seed: u64,
-    /// All else.
+    /// All other settings.
     pub hollow: Hollow,
 }
 
 /// How runs are carried out.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// The lab's own program, which becomes the hollow processes.
+    /// Path of the lab's program, which also serves as hollow process.
     pub lab: PathBuf,
-    /// The node's program, for complete nodes.
+    /// Path of the node's program, for complete nodes.
     pub program: PathBuf,
-    /// Where configurations and logs of complete nodes go.
+    /// Directory of configurations and logs of complete nodes.
     pub folder: PathBuf,
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct HollowRun {
-    /// Hollow nodes.
+    /// Number of hollow nodes.
     pub nodes: usize,
-    /// Processes that shared them.
+    /// Number of hollow processes.
     pub processes: usize,
-    /// Complete nodes beside them.
+    /// Number of complete nodes.
     pub complete: usize,
-    /// Part of the datagrams that were lost.
+    /// Fraction of datagrams lost.
     pub loss: f64,
-    /// The seed.
+    /// Seed of random draws.
     pub seed: u64,
-    /// Why it counts for nothing, if it does.
+    /// Why the run is void, if it is.
     pub void: Option<String>,
-    /// It was ended before its end.
+    /// Whether the run was stopped early.
     pub interrupted: bool,
-    /// What it came to; what was not reached is missing.
+    /// Figures by name; a figure whose event never occurred is missing.
     pub figures: BTreeMap<String, f64>,
 }
 
 impl RunPlan {
-    /// Processes of this run.
+    /// Number of hollow processes.
     pub fn processes(&self) -> usize {
         self.hollow.processes.min(self.nodes).max(1)
     }
 
-    /// What it needs of the machine.
-    pub fn need(&self) -> Need {
-        Need::new(self.nodes, self.processes(), self.hollow.complete)
+    /// Resources that the run needs.
+    pub fn requirements(&self) -> Requirements {
+        Requirements::new(self.nodes, self.processes(), self.hollow.complete)
     }
 }
 
 /// Runs it. `stop` ends it early.
 pub fn run(plan: &RunPlan, options: &RunOptions, stop: &Arc<AtomicBool>) -> Result<HollowRun, HollowError> {
-    plan.need().check()?;
+    plan.requirements().check()?;
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|error| HollowError::System { what: "a runtime", error })?;
-    LocalSet::new().block_on(&runtime, carry_out(plan, options, stop))
+        .map_err(|error| HollowError::System { what: "cannot create the runtime", error })?;
+    LocalSet::new().block_on(&runtime, run_cluster(plan, options, stop))
 }
 
-async fn carry_out(
+async fn run_cluster(
     plan: &RunPlan,
     options: &RunOptions,
     stop: &Arc<AtomicBool>,
@@ -140,7 +140,7 @@
     let seeds: Vec<usize> = (0..SEEDS.min(plan.nodes)).collect();
     let complete = start_complete(plan, options, &schedule, &addresses, &seeds, stop).await?;
     let begin = Begin {
-        origin: clock::monotonic() + AHEAD.as_micros() as u64,
+        origin: clock::monotonic_us() + START_DELAY.as_micros() as u64,
         cluster: "lab".to_owned(),
         complete: complete.as_ref().map(|complete| complete.addresses.clone()).unwrap_or_default(),
         addresses,
@@ -157,17 +157,17 @@
     for process in &mut processes {
         process.begin(begin.clone()).await?;
     }
-    let heard = listen(plan, processes, &schedule, stop).await;
-    if !matches!(heard, Ok(Some(_))) {
+    let collected = collect(plan, processes, &schedule, stop).await;
+    if !matches!(collected, Ok(Some(_))) {
         stop.store(true, Ordering::Relaxed);
     }
-    // They end in any case before the lab goes on.
-    let ended = complete.map(|complete| complete.end(begin.origin)).transpose();
-    let told = heard?;
-    Ok(judge(plan, &schedule, told, ended?))
+    // Wait for the complete nodes in any case, so that none outlives the run.
+    let ended = complete.map(|complete| complete.join(begin.origin)).transpose();
+    let data = collected?;
+    Ok(judge(plan, &schedule, data, ended?))
 }
 
-/// Starts the processes and has them open their nodes' sockets: the processes, and where each node is reached.
+/// Starts the processes and opens their nodes' sockets. Returns the processes and the address of each node.
 async fn open(
     plan: &RunPlan,
     options: &RunOptions,
@@ -178,22 +178,23 @@
         processes.push(HollowProcess::start(&options.lab, process)?);
     }
     let mut addresses = vec![SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)); plan.nodes];
-    for (place, process) in processes.iter_mut().enumerate() {
-        // In turn: a zone's loss meets all processes alike.
-        let held: Vec<usize> = (place..plan.nodes).step_by(count).collect();
-        let nodes = held.iter().map(|&node| NodeToOpen { node, address: own_address(node) }).collect();
+    for (index, process) in processes.iter_mut().enumerate() {
+        // Round-robin, so that the loss of a zone affects all processes alike.
+        let nodes_of_process: Vec<usize> = (index..plan.nodes).step_by(count).collect();
+        let nodes =
+            nodes_of_process.iter().map(|&node| NodeToOpen { node, address: node_address(node) }).collect();
         let opened = process.open(nodes).await?;
-        for (node, address) in held.into_iter().zip(opened) {
+        for (node, address) in nodes_of_process.into_iter().zip(opened) {
             addresses[node] = address;
         }
     }
     Ok((processes, addresses))
 }
 
-/// An address that no other node of this run has. Runs that share one have other ports.
-fn own_address(node: usize) -> Ipv4Addr {
+/// An address that is unique within this run. Concurrent runs that share an address use different ports.
+fn node_address(node: usize) -> Ipv4Addr {
     let [.., high, low] = std::process::id().wrapping_mul(0x9e37_79b1).to_be_bytes();
-    let (subnet, host) = (node / PER_SUBNET, node % PER_SUBNET);
+    let (subnet, host) = (node / NODES_PER_SUBNET, node % NODES_PER_SUBNET);
     Ipv4Addr::new(127, 1 + high % 254, low.wrapping_add(subnet as u8), 1 + host as u8)
 }
 
@@ -209,7 +210,7 @@
         return Ok(None);
     }
     let seeds = seeds.iter().map(|seed| addresses[*seed]).collect();
-    let how = CompleteOptions {
+    let options = CompleteOptions {
         program: options.program.clone(),
         lab: options.lab.clone(),
         folder: options.folder.clone(),
@@ -221,55 +222,55 @@
     };
     let nodes = plan.hollow.complete;
     let started =
-        Complete::start(nodes, schedule.end, plan.loss, plan.seed, seeds, how, stop.clone()).await?;
+        Complete::start(nodes, schedule.end, plan.loss, plan.seed, seeds, options, stop.clone()).await?;
     Ok(Some(started))
 }
 
-/// Hears the processes to their end; `None` where the run was ended before.
-async fn listen(
+/// Collects the messages of the processes until their end; `None` if the run was stopped early.
+async fn collect(
     plan: &RunPlan,
     processes: Vec<HollowProcess>,
     schedule: &Schedule,
     stop: &AtomicBool,
-) -> Result<Option<Told>, HollowError> {
+) -> Result<Option<RunData>, HollowError> {
     let all = processes.len();
-    let mut told = Told { nodes: plan.nodes, complete: plan.hollow.complete, ..Told::default() };
-    let mut listening = Listening::to(processes);
-    let mut watch = Watch::new(all, plan.hollow.complete);
-    let limit = AHEAD + Duration::from_micros(schedule.end) + TELL;
-    let hear = async {
-        let mut look = interval(STOP);
-        while told.reports.len() < all {
+    let mut data = RunData { nodes: plan.nodes, complete: plan.hollow.complete, ..RunData::default() };
+    let mut group = ProcessGroup::new(processes);
+    let mut tracker = ConvergenceTracker::new(all, plan.hollow.complete);
+    let limit = START_DELAY + Duration::from_micros(schedule.end) + REPORT_TIMEOUT;
+    let receive = async {
+        let mut stop_timer = interval(STOP_POLL_INTERVAL);
+        while data.reports.len() < all {
             tokio::select! {
-                Some(heard) = listening.next() => match heard.what? {
-                    What::Views(views) => {
-                        told.views.push((heard.process, views));
-                        if watch.hear(heard.process, views) && plan.hollow.end_when_met {
-                            listening.end().await;
+                Some(event) = group.next() => match event.message? {
+                    ProcessMessage::Views(views) => {
+                        data.views.push((event.process, views));
+                        if tracker.update(event.process, views) && plan.hollow.end_when_met {
+                            group.end().await;
                         }
                     }
-                    What::Report(report) => told.reports.push(*report),
+                    ProcessMessage::Report(report) => data.reports.push(*report),
                 },
-                _ = look.tick() => if stop.load(Ordering::Relaxed) {
+                _ = stop_timer.tick() => if stop.load(Ordering::Relaxed) {
                     return Ok(false);
                 },
             }
         }
         Ok::<_, ChildError>(true)
     };
-    match timeout(limit, hear).await {
-        Ok(Ok(true)) => Ok(Some(told)),
+    match timeout(limit, receive).await {
+        Ok(Ok(true)) => Ok(Some(data)),
         Ok(Ok(false)) => Ok(None),
         Ok(Err(error)) => Err(error.into()),
-        Err(_) => Err(HollowError::Silent { missing: all - told.reports.len(), all }),
+        Err(_) => Err(HollowError::MissingReports { missing: all - data.reports.len(), all }),
     }
 }
 
 fn judge(
     plan: &RunPlan,
     schedule: &Schedule,
-    told: Option<Told>,
-    complete: Option<CompleteEnd>,
+    data: Option<RunData>,
+    complete: Option<CompleteResult>,
 ) -> HollowRun {
     let mut run = HollowRun {
         nodes: plan.nodes,
@@ -278,38 +279,39 @@
         loss: plan.loss,
         seed: plan.seed,
         void: None,
-        interrupted: told.is_none(),
+        interrupted: data.is_none(),
         figures: BTreeMap::new(),
     };
-    let Some(told) = told else { return run };
-    run.figures = figures(schedule, &told);
-    run.void = why_void(plan, &run.figures, &told);
+    let Some(data) = data else { return run };
+    run.figures = figures(schedule, &data);
+    run.void = void_reason(plan, &run.figures, &data);
     if plan.hollow.publish.is_some() {
-        let of_complete = complete.iter().flat_map(|complete| &complete.received);
-        run.figures.extend(delivery_figures(schedule, &told, of_complete));
+        let received = complete.iter().flat_map(|complete| &complete.received);
+        run.figures.extend(delivery_figures(schedule, &data, received));
     }
     if let Some(complete) = complete {
-        let void = complete.run.void.clone().map(|why| format!("the complete nodes' run: {why}"));
+        let void = complete.run.void.clone().map(|reason| format!("the complete nodes' run: {reason}"));
         run.void = run.void.or(void);
-        run.figures.extend(figures_of_complete(&complete));
+        run.figures.extend(complete_figures(&complete));
     }
     run
 }
 
-fn why_void(plan: &RunPlan, figures: &BTreeMap<String, f64>, told: &Told) -> Option<String> {
+fn void_reason(plan: &RunPlan, figures: &BTreeMap<String, f64>, data: &RunData) -> Option<String> {
     let bound = plan.hollow.lateness.as_secs_f64() * 1_000.0;
     let figure = |name: &str| figures.get(name).copied().unwrap_or(f64::INFINITY);
-    let (p99, most) = (figure("late_p99_ms"), figure("late_max_ms"));
-    if p99 > bound || most > 10.0 * bound {
+    let (p99, max) = (figure("late_p99_ms"), figure("late_max_ms"));
+    if p99 > bound || max > 10.0 * bound {
         return Some(format!(
-            "the lab was late: {p99:.1} ms at the 99th percentile, {most:.1} ms at the most, over its bound of {bound} ms and ten times that"
+            "the lab was late: {p99:.1} ms at the 99th percentile, {max:.1} ms at the most, over its bound of {bound} ms and ten times that"
         ));
     }
-    let not_carried: u64 = told.reports.iter().map(|report| report.not_carried).sum();
-    (not_carried > 0).then(|| format!("{not_carried} datagrams were more than the lab could carry"))
+    let overflowed: u64 = data.reports.iter().map(|report| report.overflowed).sum();
+    (overflowed > 0)
+        .then(|| format!("{overflowed} datagrams were dropped over the limit of delayed datagrams"))
 }
 
-fn figures_of_complete(end: &CompleteEnd) -> Vec<(String, f64)> {
+fn complete_figures(result: &CompleteResult) -> Vec<(String, f64)> {
     let names = [
         ("served", "complete_served"),
         ("rules", "complete_rules"),
@@ -318,9 +320,9 @@
     ];
     let mut figures: Vec<_> = names
         .iter()
-        .filter_map(|(from, to)| Some(((*to).to_owned(), *end.run.figures.get(*from)?)))
+        .filter_map(|(from, to)| Some(((*to).to_owned(), *result.run.figures.get(*from)?)))
         .collect();
-    figures.extend(end.see.map(|see| ("complete_see".to_owned(), f64::from(see))));
+    figures.extend(result.min_nodes_seen.map(|nodes| ("complete_see".to_owned(), f64::from(nodes))));
     figures
 }
 
--- a/lab/src/hollow/schedule/tests.rs
+++ b/lab/src/hollow/schedule/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn phases_follow_each_other_and_events_are_in_order() {
+fn phases_are_contiguous_and_events_are_in_time_order() {
     let kinds = [FaultKind::Kill, FaultKind::Rack, FaultKind::Zone, FaultKind::Restart, FaultKind::Region];
     let schedule = Schedule::new(&hollow(&kinds), 530);
     let names: Vec<_> = schedule.phases.iter().map(|phase| phase.name).collect();
@@ -21,24 +21,24 @@
     }
     assert_eq!(schedule.end, schedule.phases[6].to);
     assert!(schedule.events.windows(2).all(|pair| pair[0].at <= pair[1].at));
-    let gone: Vec<_> = schedule.phases.iter().map(|phase| phase.gone.len()).collect();
-    assert_eq!(gone, [0, 0, 1, 12, 28, 32, 0]);
-    assert!(schedule.phases[5].with_farewell);
+    let down: Vec<_> = schedule.phases.iter().map(|phase| phase.down.len()).collect();
+    assert_eq!(down, [0, 0, 1, 12, 28, 32, 0]);
+    assert!(schedule.phases[5].graceful);
     assert!((56..=84).contains(&schedule.phases[6].cut.len()));
 }
 
 #[test]
-fn all_that_is_gone_comes_back() {
+fn every_stopped_node_and_cut_region_is_restored() {
     let kinds = [FaultKind::Rack, FaultKind::Restart, FaultKind::Region];
     for nodes in [4, 20, 66, 530] {
         let schedule = Schedule::new(&hollow(&kinds), nodes);
         let (mut running, mut cut) = (BTreeSet::new(), BTreeSet::new());
         for event in &schedule.events {
-            match event.what {
-                Happening::Start(node) => assert!(running.insert(node), "n{node} runs already"),
-                Happening::Kill(node) | Happening::Leave(node) => assert!(running.remove(&node)),
-                Happening::Cut(region) => assert!(cut.insert(region)),
-                Happening::Heal(region) => assert!(cut.remove(&region)),
+            match event.kind {
+                EventKind::Start(node) => assert!(running.insert(node), "n{node} runs already"),
+                EventKind::Kill(node) | EventKind::Leave(node) => assert!(running.remove(&node)),
+                EventKind::Cut(region) => assert!(cut.insert(region)),
+                EventKind::Heal(region) => assert!(cut.remove(&region)),
                 _ => unreachable!("nothing is published"),
             }
         }
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn one_node_that_no_fault_meets_publishes_all_that_is_asked_for() {
+fn one_node_unaffected_by_faults_publishes_everything() {
     let kinds = [FaultKind::Kill, FaultKind::Rack, FaultKind::Zone, FaultKind::Restart, FaultKind::Region];
     for with_faults in [false, true] {
         let publish = Some(Publish { with_faults, ..Publish::default() });
@@ -56,19 +56,19 @@
         let publishers: BTreeSet<_> = schedule
             .events
             .iter()
-            .filter_map(|event| match event.what {
-                Happening::OpenPublisher(node)
-                | Happening::PublishEntry { node, .. }
-                | Happening::PublishState { node, .. } => Some(node),
+            .filter_map(|event| match event.kind {
+                EventKind::OpenPublisher(node)
+                | EventKind::PublishEntry { node, .. }
+                | EventKind::PublishState { node, .. } => Some(node),
                 _ => None,
             })
             .collect();
         let publisher = *publishers.first().unwrap();
         assert_eq!(publishers.len(), 1);
-        assert!(schedule.phases.iter().all(|phase| !phase.gone.contains(&publisher)));
+        assert!(schedule.phases.iter().all(|phase| !phase.down.contains(&publisher)));
         assert!(schedule.phases.iter().all(|phase| !phase.cut.contains(&publisher)));
         let entries =
-            schedule.events.iter().filter(|event| matches!(event.what, Happening::PublishEntry { .. }));
+            schedule.events.iter().filter(|event| matches!(event.kind, EventKind::PublishEntry { .. }));
         let times: Vec<_> = entries.map(|event| event.at).collect();
         assert!((360..=361).contains(&times.len()), "{}", times.len());
         let publishing = &schedule.phases[2];
--- a/lab/src/hollow/series.rs
+++ b/lab/src/hollow/series.rs
@@ -1,9 +1,9 @@
-//! A run's figures as series against the number of nodes, in the form that all measuring tools of the lab share.
+//! Figures of runs as series over the number of nodes, in the format shared by all measuring tools of the lab.
 
 use super::run::HollowRun;
 use crate::slopes::{Method, Point, Series};
 
-/// Figures that become series: their name, the series and its unit.
+/// Figures that become series: figure, name of the series, unit.
 const SERIES: &[(&str, &str, &str)] = &[
     ("rest_bytes", "hollow.bytes_per_second.rest", "B/s"),
     ("rest_peak_bytes", "hollow.bytes_per_second.peak.rest", "B/s"),
@@ -24,13 +24,13 @@
     ("acknowledged_largest_s", "hollow.seconds_to_acknowledge.log", "s"),
 ];
 
-/// The series of runs that count: void and interrupted ones give no points. Each loss above zero has series of its own.
+/// Series of the valid runs; void and interrupted runs contribute no points. Each loss above zero has its own series.
 pub fn series(runs: &[HollowRun], command: &str) -> Vec<Series> {
     let mut losses: Vec<f64> = runs.iter().map(|run| run.loss).collect();
     losses.sort_by(f64::total_cmp);
     losses.dedup();
-    let of_losses = losses.into_iter().flat_map(|loss| SERIES.iter().map(move |of| (loss, of)));
-    let all = of_losses.map(|(loss, (figure, name, unit))| Series {
+    let per_loss = losses.into_iter().flat_map(|loss| SERIES.iter().map(move |of| (loss, of)));
+    let all = per_loss.map(|(loss, (figure, name, unit))| Series {
         name: if loss > 0.0 {
             format!("{name}.loss-{:.0}-percent", loss * 100.0)
         } else {
--- a/lab/src/hollow/settings.rs
+++ b/lab/src/hollow/settings.rs
@@ -1,4 +1,4 @@
-//! What a run of hollow nodes is: sizes, places and faults, from the command line or an experiment file.
+//! Settings of runs of hollow nodes: sizes, places and faults, from the command line or an experiment file.
 
 use super::places::Map;
 use crate::cluster::topology::REGIONS;
@@ -7,74 +7,74 @@
 use walkpick::peers::dissemination::MAX_PAYLOAD_BYTES;
 use walkpick::peers::PeersConfig;
 
-/// Processes that share the hollow nodes, at the most.
-pub const MOST_PROCESSES: usize = 16;
-/// Hollow nodes at the most: their addresses, memory and timers are one machine's.
-pub const MOST_NODES: usize = 4_096;
-/// Complete nodes at the most: each is a process.
-pub const MOST_COMPLETE: usize = 64;
+/// Maximum number of processes that share the hollow nodes.
+pub const MAX_PROCESSES: usize = 16;
+/// Maximum number of hollow nodes, whose addresses, memory and timers share one machine.
+pub const MAX_NODES: usize = 4_096;
+/// Maximum number of complete nodes, each of which is a process.
+pub const MAX_COMPLETE: usize = 64;
 
-/// A cluster of hollow nodes and what happens to it. Each size is run with each loss.
+/// A cluster of hollow nodes and its schedule. Each size is run with each loss.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Hollow {
     /// Numbers of hollow nodes.
     pub nodes: Vec<usize>,
-    /// Processes that share them; no more than there are nodes.
+    /// Processes that share the hollow nodes; at most as many as nodes.
     pub processes: usize,
-    /// Complete nodes beside them, with servers, discovery and load of their own.
+    /// Complete nodes, each with its own servers, discovery and load.
     pub complete: usize,
-    /// Parts of the datagrams that are lost.
+    /// Fractions of datagrams lost.
     pub loss: Vec<f64>,
-    /// Over this time nodes start.
+    /// Time over which node starts are spread.
     #[serde(with = "humantime_serde")]
     pub start: Duration,
-    /// From the first start on, nodes have so long to meet.
+    /// Time from the first start within which nodes are to converge.
     #[serde(with = "humantime_serde")]
     pub meet: Duration,
-    /// The run ends as soon as they have met.
+    /// Whether the run ends as soon as nodes have converged.
     pub end_when_met: bool,
-    /// So long nothing happens.
+    /// Time without events after that.
     #[serde(with = "humantime_serde")]
     pub rest: Duration,
-    /// A run in which one in a hundred things came later than this, or one ten times as late, is void.
+    /// A run is void if the 99th percentile of lateness exceeds this, or the maximum exceeds ten times this.
     #[serde(with = "humantime_serde")]
     pub lateness: Duration,
-    /// Each node probes another one this often.
+    /// Probe interval.
     #[serde(with = "humantime_serde")]
     pub probe_every: Duration,
-    /// An answer that takes longer is asked for by way of others.
+    /// Timeout of a direct probe before indirect probes are sent.
     #[serde(with = "humantime_serde")]
     pub probe_timeout: Duration,
     /// Regions and zones.
     pub map: Map,
-    /// What is published after the rest; nodes take part in dissemination where something is.
+    /// What is published after the rest. Nodes take part in dissemination only if this is set.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub publish: Option<Publish>,
-    /// What happens after that, one after the other.
+    /// Faults, injected one after the other.
     pub fault: Vec<HollowFault>,
 }
 
-/// What a publisher issues.
+/// What a publisher publishes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Publish {
-    /// Entries of its log, a second.
+    /// Log entries per second.
     pub per_second: u32,
-    /// Bytes of each.
+    /// Size of an entry.
     pub entry_bytes: usize,
-    /// For so long.
+    /// How long entries are published.
     #[serde(with = "humantime_serde")]
     pub lasts: Duration,
-    /// Between two versions of its state.
+    /// Time between two state versions.
     #[serde(with = "humantime_serde")]
     pub state_every: Duration,
-    /// Bytes of each.
+    /// Size of the state.
     pub state_bytes: usize,
-    /// After the last entry, all have so long.
+    /// Time for delivery after the last entry.
     #[serde(with = "humantime_serde")]
     pub drain: Duration,
-    /// Faults begin while entries flow, in place of after them.
+    /// Whether faults begin during publishing rather than after it.
     pub with_faults: bool,
 }
 
@@ -94,13 +94,13 @@
 }
 
 impl Publish {
-    fn tell_faults(&self, found: &mut Bounds) {
-        found.within("publish.per_second", f64::from(self.per_second), 1.0, 1_000.0);
-        found.within("publish.entry_bytes", self.entry_bytes as f64, 1.0, MAX_PAYLOAD_BYTES as f64);
-        found.within("publish.state_bytes", self.state_bytes as f64, 1.0, MAX_PAYLOAD_BYTES as f64);
-        found.seconds("publish.lasts", self.lasts, 1.0, 3_600.0);
-        found.seconds("publish.state_every", self.state_every, 0.1, 3_600.0);
-        found.seconds("publish.drain", self.drain, 0.0, 600.0);
+    fn validate(&self, validator: &mut Validator) {
+        validator.check_range("publish.per_second", f64::from(self.per_second), 1.0, 1_000.0);
+        validator.check_range("publish.entry_bytes", self.entry_bytes as f64, 1.0, MAX_PAYLOAD_BYTES as f64);
+        validator.check_range("publish.state_bytes", self.state_bytes as f64, 1.0, MAX_PAYLOAD_BYTES as f64);
+        validator.check_seconds("publish.lasts", self.lasts, 1.0, 3_600.0);
+        validator.check_seconds("publish.state_every", self.state_every, 0.1, 3_600.0);
+        validator.check_seconds("publish.drain", self.drain, 0.0, 600.0);
     }
 }
 
@@ -110,7 +110,7 @@
         let PeersConfig { probe_interval: probe_every, probe_timeout, .. } = PeersConfig::default();
         Self {
             nodes: vec![530],
-            processes: MOST_PROCESSES,
+            processes: MAX_PROCESSES,
             complete: 0,
             loss: vec![0.0],
             start: ms(10_000),
@@ -127,16 +127,16 @@
     }
 }
 
-/// Something that happens to hollow nodes and ends.
+/// A temporary fault of hollow nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HollowFault {
-    /// What.
+    /// Kind of the fault.
     pub what: FaultKind,
-    /// For so long it lasts; at its end what is gone comes back.
+    /// How long it lasts; at its end, stopped nodes restart and cut regions are reconnected.
     #[serde(with = "humantime_serde", default = "twelve_seconds")]
     pub lasts: Duration,
-    /// For so long the cluster is watched after that.
+    /// How long the cluster is observed after that.
     #[serde(with = "humantime_serde", default = "ten_seconds")]
     pub after: Duration,
 }
@@ -155,18 +155,18 @@
 pub enum FaultKind {
     /// One node is killed.
     Kill,
-    /// A rack of 12 is killed.
+    /// A rack of 12 nodes is killed.
     Rack,
     /// A zone is killed.
     Zone,
-    /// 32 nodes leave and come back: `lasts` is the time between.
+    /// 32 nodes leave and come back after `lasts`.
     Restart,
-    /// A region loses all others.
+    /// A region is cut off from all others.
     Region,
 }
 
 impl FaultKind {
-    /// As it is written in files and figures.
+    /// Name in files and figures.
     pub fn name(self) -> &'static str {
         match self {
             Self::Kill => "kill",
@@ -178,77 +178,82 @@
     }
 }
 
-/// A value that is wrong.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
-    /// Its name.
+pub struct InvalidSetting {
+    /// Its key.
     pub key: String,
-    /// What it is.
+    /// Its value.
     pub found: String,
-    /// What it may be.
+    /// The valid values.
     pub expected: String,
 }
 
 impl Hollow {
-    /// All that is wrong with it.
-    pub fn faults(&self) -> Vec<Wrong> {
-        let mut found = Bounds(Vec::new());
-        found.listed("nodes", self.nodes.len());
+    /// Returns all invalid settings.
+    pub fn validate(&self) -> Vec<InvalidSetting> {
+        let mut validator = Validator(Vec::new());
+        validator.check_not_empty("nodes", self.nodes.len());
         for nodes in &self.nodes {
-            found.within("nodes", *nodes as f64, 2.0, MOST_NODES as f64);
+            validator.check_range("nodes", *nodes as f64, 2.0, MAX_NODES as f64);
         }
-        let fewest = self.nodes.iter().copied().min().unwrap_or(MOST_PROCESSES).clamp(1, MOST_PROCESSES);
-        found.within("processes", self.processes as f64, 1.0, fewest as f64);
-        found.within("complete", self.complete as f64, 0.0, MOST_COMPLETE as f64);
-        found.listed("loss", self.loss.len());
+        let min_nodes = self.nodes.iter().copied().min().unwrap_or(MAX_PROCESSES).clamp(1, MAX_PROCESSES);
+        validator.check_range("processes", self.processes as f64, 1.0, min_nodes as f64);
+        validator.check_range("complete", self.complete as f64, 0.0, MAX_COMPLETE as f64);
+        validator.check_not_empty("loss", self.loss.len());
         for loss in &self.loss {
-            found.within("loss", *loss, 0.0, 0.9);
+            validator.check_range("loss", *loss, 0.0, 0.9);
         }
-        found.seconds("start", self.start, 0.0, 60.0);
-        found.seconds("meet", self.meet, 1.0, 600.0);
-        found.seconds("rest", self.rest, 1.0, 3_600.0);
-        found.seconds("lateness", self.lateness, 0.000_001, 36_000.0);
-        found.seconds("probe_every", self.probe_every, 0.1, 60.0);
-        found.seconds("probe_timeout", self.probe_timeout, 0.01, self.probe_every.as_secs_f64() / 2.0);
-        found.within("map.regions", self.map.regions as f64, 1.0, REGIONS as f64);
-        found.within("map.zones", self.map.zones as f64, self.map.regions.max(1) as f64, 256.0);
-        found.seconds("map.farthest", self.map.farthest, 0.001, 2.0);
-        self.publish.iter().for_each(|publish| publish.tell_faults(&mut found));
+        validator.check_seconds("start", self.start, 0.0, 60.0);
+        validator.check_seconds("meet", self.meet, 1.0, 600.0);
+        validator.check_seconds("rest", self.rest, 1.0, 3_600.0);
+        validator.check_seconds("lateness", self.lateness, 0.000_001, 36_000.0);
+        validator.check_seconds("probe_every", self.probe_every, 0.1, 60.0);
+        validator.check_seconds(
+            "probe_timeout",
+            self.probe_timeout,
+            0.01,
+            self.probe_every.as_secs_f64() / 2.0,
+        );
+        validator.check_range("map.regions", self.map.regions as f64, 1.0, REGIONS as f64);
+        validator.check_range("map.zones", self.map.zones as f64, self.map.regions.max(1) as f64, 256.0);
+        validator.check_seconds("map.farthest", self.map.farthest, 0.001, 2.0);
+        self.publish.iter().for_each(|publish| publish.validate(&mut validator));
         for (i, fault) in self.fault.iter().enumerate() {
-            found.seconds(&format!("fault {}: lasts", i + 1), fault.lasts, 0.1, 600.0);
-            found.seconds(&format!("fault {}: after", i + 1), fault.after, 1.0, 600.0);
+            validator.check_seconds(&format!("fault {}: lasts", i + 1), fault.lasts, 0.1, 600.0);
+            validator.check_seconds(&format!("fault {}: after", i + 1), fault.after, 1.0, 600.0);
             if self.fault[..i].iter().any(|before| before.what == fault.what) {
-                let found_one = format!("another {}", fault.what.name());
-                found.add(&format!("fault {}: what", i + 1), found_one, "each kind once".to_owned());
+                let duplicate = format!("another {}", fault.what.name());
+                validator.report(&format!("fault {}: what", i + 1), duplicate, "each kind once".to_owned());
             }
         }
-        found.0
+        validator.0
     }
 }
 
-/// Collects what lies outside its bounds.
-struct Bounds(Vec<Wrong>);
+/// Collects invalid settings.
+struct Validator(Vec<InvalidSetting>);
 
-impl Bounds {
-    fn add(&mut self, key: &str, found: String, expected: String) {
-        self.0.push(Wrong { key: key.to_owned(), found, expected });
+impl Validator {
+    fn report(&mut self, key: &str, found: String, expected: String) {
+        self.0.push(InvalidSetting { key: key.to_owned(), found, expected });
     }
 
-    fn within(&mut self, key: &str, value: f64, least: f64, most: f64) {
-        if !(least..=most).contains(&value) {
-            self.add(key, value.to_string(), format!("{least} to {most}"));
+    fn check_range(&mut self, key: &str, value: f64, min: f64, max: f64) {
+        if !(min..=max).contains(&value) {
+            self.report(key, value.to_string(), format!("{min} to {max}"));
         }
     }
 
-    fn seconds(&mut self, key: &str, value: Duration, least: f64, most: f64) {
-        if !(least..=most).contains(&value.as_secs_f64()) {
-            self.add(key, humantime::format_duration(value).to_string(), format!("{least} s to {most} s"));
+    fn check_seconds(&mut self, key: &str, value: Duration, min: f64, max: f64) {
+        if !(min..=max).contains(&value.as_secs_f64()) {
+            self.report(key, humantime::format_duration(value).to_string(), format!("{min} s to {max} s"));
         }
     }
 
-    fn listed(&mut self, key: &str, values: usize) {
+    fn check_not_empty(&mut self, key: &str, values: usize) {
         if values == 0 {
-            self.add(key, "an empty list".to_owned(), "one value or more".to_owned());
+            self.report(key, "an empty list".to_owned(), "one value or more".to_owned());
         }
     }
 }
--- a/lab/src/hollow/settings/tests.rs
+++ b/lab/src/hollow/settings/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn what_stands_by_default_is_right() {
-    assert_eq!(Hollow::default().faults(), []);
+fn default_settings_are_valid() {
+    assert_eq!(Hollow::default().validate(), []);
 }
 
 #[test]
-fn every_value_that_is_wrong_is_told_at_once() {
+fn all_invalid_settings_are_reported_at_once() {
     let fault = |lasts_ms| HollowFault {
         what: FaultKind::Kill,
         lasts: Duration::from_millis(lasts_ms),
@@ -23,8 +23,8 @@
         fault: vec![fault(1), fault(1_000)],
         ..Hollow::default()
     };
-    let faults = hollow.faults();
-    let keys: Vec<_> = faults.iter().map(|wrong| wrong.key.as_str()).collect();
+    let invalid_settings = hollow.validate();
+    let keys: Vec<_> = invalid_settings.iter().map(|invalid| invalid.key.as_str()).collect();
     assert_eq!(
         keys,
         [
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -1,4 +1,5 @@
-//! Hollow nodes as processes on real sockets. Nothing here judges how fast a machine is: a late run is void, and says so.
+//! Hollow nodes as processes on real sockets. These tests do not depend on the speed of the machine: a late run is
+//! reported void.
 
 mod common;
 
@@ -18,14 +19,14 @@
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
-/// Whether a process holds sockets of hollow nodes.
+/// Whether the process has opened the sockets of its hollow nodes.
 fn has_opened(pid: u32) -> bool {
     let files = std::fs::read_dir(format!("/proc/{pid}/fd")).into_iter().flatten().flatten();
     let links = files.filter_map(|file| std::fs::read_link(file.path()).ok());
     links.filter(|link| link.to_string_lossy().starts_with("socket:")).count() >= 10
 }
 
-/// A lab whose two processes hold ten nodes each, for a long run.
+/// A lab with two processes of ten nodes each, in a long run.
 fn long_run(folder: &Folder) -> (Child, Vec<u32>) {
     let json = folder.path("out.json");
     let arguments =
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn twenty_nodes_in_two_processes_meet_and_write_what_they_measured() {
+fn twenty_nodes_in_two_processes_converge_and_write_their_results() {
     let folder = Folder::new("meet");
     let (json, series) = (folder.path("out.json"), folder.path("series.json"));
     let output =
@@ -60,9 +61,9 @@
     assert_eq!((point["size"].as_f64(), point["seed"].as_u64()), (Some(20.0), Some(1)));
 }
 
-// Guards against figures of a lab that was late itself: no machine is on time to the microsecond.
+// Guards against accepting figures from a lab that was itself late: no machine keeps time to the microsecond.
 #[test]
-fn a_lab_that_is_late_makes_its_run_void_and_says_so() {
+fn a_run_is_reported_void_when_the_lab_is_late() {
     let folder = Folder::new("late");
     let series = folder.path("series.json");
     let output =
@@ -70,14 +71,14 @@
             .args(["--lateness", "1us", "--series", &series])
             .output()
             .unwrap();
-    let said = text(&output);
-    assert_eq!(output.status.code(), Some(1), "{said}");
-    assert!(said.contains("void: the lab was late"), "{said}");
+    let printed = text(&output);
+    assert_eq!(output.status.code(), Some(1), "{printed}");
+    assert!(printed.contains("void: the lab was late"), "{printed}");
     assert_eq!(folder.json("series.json"), serde_json::json!([]));
 }
 
 #[test]
-fn a_lab_that_is_killed_outright_leaves_no_process_behind() {
+fn killing_the_lab_leaves_no_hollow_process_behind() {
     let folder = Folder::new("killed");
     let (mut child, processes) = long_run(&folder);
     child.kill().unwrap();
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn an_interrupted_lab_ends_its_processes_and_judges_nothing() {
+fn an_interrupted_lab_stops_its_processes_and_reports_no_figures() {
     let folder = Folder::new("interrupted");
     for signal in ["-INT", "-TERM"] {
         let (mut child, processes) = long_run(&folder);
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_process_that_dies_ends_the_run_and_is_told() {
+fn a_killed_hollow_process_ends_the_run_with_an_error() {
     let folder = Folder::new("dies");
     let (child, processes) = long_run(&folder);
     assert!(Command::new("kill").args(["-KILL", &processes[1].to_string()]).status().unwrap().success());
@@ -113,40 +114,40 @@
 }
 
 #[test]
-fn bad_arguments_are_told_all_at_once_and_end_with_2() {
+fn all_invalid_arguments_are_reported_at_once_with_exit_code_2() {
     let output =
         hollow(&["--nodes", "1", "--processes", "40", "--complete", "1000", "--loss", "2"]).output().unwrap();
-    let said = text(&output);
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    for place in ["nodes: found 1", "processes: found 40", "complete: found 1000", "loss: found 2"] {
-        assert!(said.contains(place), "{place}: {said}");
+    let printed = text(&output);
+    assert_eq!(output.status.code(), Some(2), "{printed}");
+    for expected in ["nodes: found 1", "processes: found 40", "complete: found 1000", "loss: found 2"] {
+        assert!(printed.contains(expected), "{expected}: {printed}");
     }
 }
 
 #[test]
-fn an_experiment_file_is_run_and_its_checks_are_held_against_it() {
+fn an_experiment_file_is_run_and_its_checks_are_evaluated() {
     let folder = Folder::new("file");
     let file = folder.path("file.toml");
-    let bound = |most: f64| {
+    let bound = |at_most: f64| {
         format!(
             "name = \"file\"\nabout = \"a test\"\n[hollow]\nnodes = [6]\nprocesses = 2\nstart = \"1s\"\n\
              meet = \"100s\"\nend_when_met = true\n\
-             [[check]]\nname = \"they meet\"\nfigure = \"met_s\"\nat_most = {most}\n"
+             [[check]]\nname = \"they meet\"\nfigure = \"met_s\"\nat_most = {at_most}\n"
         )
     };
-    for (most, code, word) in [(100.0, 0, "holds"), (0.001, 1, "FALLS SHORT")] {
-        std::fs::write(&file, bound(most)).unwrap();
+    for (at_most, code, verdict) in [(100.0, 0, "holds"), (0.001, 1, "FALLS SHORT")] {
+        std::fs::write(&file, bound(at_most)).unwrap();
         let output = Command::new(LAB).args(["run", &file, "--lateness", "1h"]).output().unwrap();
-        let said = text(&output);
-        assert_eq!(output.status.code(), Some(code), "{said}");
-        assert!(said.contains("they meet") && said.contains(word), "{said}");
+        let printed = text(&output);
+        assert_eq!(output.status.code(), Some(code), "{printed}");
+        assert!(printed.contains("they meet") && printed.contains(verdict), "{printed}");
     }
 }
 
 #[test]
-fn a_run_that_this_machine_cannot_hold_is_refused_before_anything_starts() {
+fn a_run_that_exceeds_the_memory_limit_is_rejected_before_any_process_starts() {
     let output = hollow(&["--nodes", "4000", "--seconds", "1000"]).output().unwrap();
-    let said = text(&output);
-    assert_eq!(output.status.code(), Some(1), "{said}");
-    assert!(said.contains("expected at most"), "{said}");
+    let printed = text(&output);
+    assert_eq!(output.status.code(), Some(1), "{printed}");
+    assert!(printed.contains("expected at most"), "{printed}");
 }
