--- a/lab/src/dissemination/tests.rs
+++ b/lab/src/dissemination/tests.rs
@@ -143,7 +143,7 @@
     writer.run(&mut cluster, 2);
     let paused_at = cluster.now();
     cluster.pause(relay);
-    // Others lose sight of it after 4.8 s: those that don't are told that it lacks what was published meanwhile.
+    // Other nodes remove it within 4.8 s; until then, a publisher that still sees it is notified that it lacks new entries.
     writer.run(&mut cluster, 10);
     cluster.resume(relay);
     writer.run(&mut cluster, 3);
