--- a/lab/src/measure/request_path.rs
+++ b/lab/src/measure/request_path.rs
@@ -22,7 +22,7 @@
 const RESPONSE_BYTES: usize = 1_024;
 /// Request numbers reserved for each load of a run, so that no number is used twice.
 const NUMBERS_PER_LOAD: u64 = 10_000_000;
-/// Part of the measured time that passes before it begins, so that connections are open and tables filled.
+/// Warm-up before a load is measured, as a share of the measured time: connections open and tables fill meanwhile.
 const WARM_UP_SHARE: f64 = 0.25;
 
 /// Parameters of the measurement.
