--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -133,10 +133,10 @@
                 let effect = self.class_of(&self.requests[id].request).effect;
                 let state = self.requests.get_mut(id).expect("a refusal of an unknown request");
                 assert!(!state.ended, "rule 1: a second final response");
-                let deduplicated_everywhere =
+                let retry_allowed_anywhere =
                     matches!(effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
                 assert!(
-                    deduplicated_everywhere || !state.attempts.iter().any(may_have_run),
+                    retry_allowed_anywhere || !state.attempts.iter().any(may_have_run),
                     "rule 2: refused although an attempt may have run"
                 );
                 if let Effect::Keyed { window, .. } = effect {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -216,12 +216,12 @@
 /// Guards against invalid numbers (not finite, negative or out of range) that reach the routing decisions.
 #[test]
 fn invalid_numbers_are_replaced_by_defaults() {
-    for invalid in ["NaN", "inf", "-inf", "-0.5"] {
+    for bad in ["NaN", "inf", "-inf", "-0.5"] {
         let start = format!(
-            "power_on who=1 prng=1 lanes.count=1 lanes.0.name=a lanes.0.worth={invalid} lanes.0.late_value={invalid} \
-             over_share_worth={invalid} safety.cold_share={invalid} safety.fall_multiple={invalid}"
+            "power_on who=1 prng=1 lanes.count=1 lanes.0.name=a lanes.0.worth={bad} lanes.0.late_value={bad} \
+             over_share_worth={bad} safety.cold_share={bad} safety.fall_multiple={bad}"
         );
-        let entry = format!("m server=s availability=U capacity_hint={invalid}");
+        let entry = format!("m server=s availability=U capacity_hint={bad}");
         let lines = [start.as_str(), "roster bank=0 hosts=1", &entry, "peers_known who=1 how=replace bank=0"];
         let mut inputs = parse(&lines);
         let Input::Event { event: Event::Servers(ServerList::Full(list)), .. } = inputs.remove(1) else {
