--- a/lab/src/hollow/children.rs
+++ b/lab/src/hollow/children.rs
@@ -1,7 +1,7 @@
 //! The lab's side of its hollow processes: started under its hold, told what to do, heard, ended with it.
 
 use super::protocol::{Begin, FromProcess, NodeToOpen, Report, ToProcess, ViewsOfProcess};
-use crate::real::process::{start_held, ProcessError};
+use crate::real::process::{spawn_bound_to_parent, ProcessError};
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -85,7 +85,7 @@
 impl HollowProcess {
     /// Starts a process, which has no nodes yet.
     pub fn start(lab: &Path, process: usize) -> Result<Self, ChildError> {
-        let mut child = start_held(lab, lab, &["hollow-process"])?;
+        let mut child = spawn_bound_to_parent(lab, lab, &["hollow-process"])?;
         let (input, output) = (child.stdin.take(), child.stdout.take());
         let Some(output) = output else {
             return Err(ChildError::Ended { process, how: "it has no output".to_owned() });
--- a/lab/src/hollow/complete.rs
+++ b/lab/src/hollow/complete.rs
@@ -7,7 +7,7 @@
     Arm, Deployment, Direction, Driver, Experiment, FaultKind, LinkFault, Load, RemoteKind, ScheduledFault,
 };
 use crate::judge::RunResult as Run;
-use crate::real::{self, Company, Options, RealError};
+use crate::real::{self, ExternalPeers, Options, RealError};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -112,9 +112,21 @@
             dissemination,
             ..
         } = options;
-        let company =
-            Some(Company { seeds, location, probe_every, probe_timeout, dissemination, nodes: sender });
-        let options = Options { program, lab, folder: folder.clone(), lateness, company };
+        let company = Some(ExternalPeers {
+            seeds,
+            location,
+            probe_every,
+            probe_timeout,
+            dissemination,
+            node_addresses: sender,
+        });
+        let options = Options {
+            program,
+            lab_program: lab,
+            folder: folder.clone(),
+            max_lateness: lateness,
+            external_peers: company,
+        };
         let experiment = experiment(nodes, Duration::from_micros(length), loss);
         let arm = Arm { peers: true, ..Arm::default() };
         let thread =
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -64,7 +64,7 @@
         /// What `run --json` wrote
         file: PathBuf,
         #[command(flatten)]
-        how: How,
+        how: DriverArgs,
     },
     /// Write an experiment to begin with
     Init {
@@ -116,12 +116,12 @@
     #[arg(long)]
     jobs: Option<usize>,
     #[command(flatten)]
-    how: How,
+    how: DriverArgs,
 }
 
 /// How runs are carried out.
 #[derive(Clone, Debug, Args)]
-struct How {
+struct DriverArgs {
     /// Simulated time or real nodes; as the experiment says where it is not given
     #[arg(long)]
     driver: Option<Driver>,
@@ -153,7 +153,7 @@
     #[arg(long)]
     json: bool,
     #[command(flatten)]
-    how: How,
+    how: DriverArgs,
 }
 
 #[derive(Debug, Args)]
@@ -170,25 +170,25 @@
     #[arg(long)]
     json: bool,
     #[command(flatten)]
-    how: How,
+    how: DriverArgs,
 }
 
 /// An experiment and what came of it, as JSON has it.
 #[derive(Debug, Serialize)]
-struct Written<'a> {
+struct ResultsFile<'a> {
     experiment: &'a Experiment,
     runs: &'a [Run],
 }
 
 /// What a replay needs of it.
 #[derive(Debug, Deserialize)]
-struct Kept {
+struct RecordedResults {
     experiment: Experiment,
-    runs: Vec<KeptRun>,
+    runs: Vec<RecordedRun>,
 }
 
 #[derive(Debug, Deserialize)]
-struct KeptRun {
+struct RecordedRun {
     arm: String,
     seed: u64,
     driver: Driver,
@@ -198,9 +198,9 @@
 }
 
 /// Broken rules of a run that the terminal shows; the JSON has more of them.
-const SHOWN: usize = 3;
-const FELL_SHORT: u8 = 1;
-const BAD_INPUT: u8 = 2;
+const MAX_VIOLATIONS_SHOWN: usize = 3;
+const EXIT_CHECK_FAILED: u8 = 1;
+const EXIT_BAD_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_writer(io::stderr).with_ansi(false).init();
@@ -221,17 +221,19 @@
         Command::List { folder } => list(&folder).map(|()| true),
         Command::Explain { file } => explain(&file).map(|()| true),
         // It comes back only where it failed.
-        Command::Hold { parent, command } => Err(process::hold(parent, &command[0], &command[1..]).into()),
+        Command::Hold { parent, command } => {
+            Err(process::exec_bound_to_parent(parent, &command[0], &command[1..]).into())
+        }
     };
     match done {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(FELL_SHORT),
+        Ok(false) => ExitCode::from(EXIT_CHECK_FAILED),
         Err(error) => {
             for line in error.to_string().lines() {
                 eprintln!("walkpick-lab: {line}");
             }
-            if bad_input(error.as_ref()) {
-                ExitCode::from(BAD_INPUT)
+            if is_input_error(error.as_ref()) {
+                ExitCode::from(EXIT_BAD_INPUT)
             } else {
                 ExitCode::FAILURE
             }
@@ -240,7 +242,7 @@
 }
 
 /// Whether what was given is at fault.
-fn bad_input(error: &(dyn Error + 'static)) -> bool {
+fn is_input_error(error: &(dyn Error + 'static)) -> bool {
     error.is::<ExperimentError>()
         || error.is::<UnknownName>()
         || error.is::<NotApplicable>()
@@ -250,10 +252,10 @@
         || error.is::<PageError>()
 }
 
-type Done = Result<bool, Box<dyn Error>>;
+type CommandResult = Result<bool, Box<dyn Error>>;
 
 /// A run that is asked for.
-struct Wanted<'a> {
+struct PlannedRun<'a> {
     experiment: &'a Experiment,
     name: &'a str,
     arm: &'a Arm,
@@ -262,19 +264,19 @@
 }
 
 /// Plays arms on seeds, several at once; the results come in the order asked for. The first run that fails ends all.
-fn play(
+fn run_arms(
     experiment: &Experiment,
     arms: &[String],
     seeds: std::ops::Range<u64>,
     jobs: Option<usize>,
-    how: &How,
+    how: &DriverArgs,
 ) -> Result<Vec<Run>, Box<dyn Error>> {
     let (all, driver) = (experiment.arms(), how.driver.unwrap_or(experiment.driver));
     let wanted: Vec<_> = arms
         .iter()
         .flat_map(|name| {
             let arm = &all[name];
-            seeds.clone().map(move |seed| Wanted { experiment, name, arm, seed, driver })
+            seeds.clone().map(move |seed| PlannedRun { experiment, name, arm, seed, driver })
         })
         .collect();
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
@@ -294,7 +296,7 @@
                 let Some(wanted) = wanted.get(place).filter(|_| !stop.load(Ordering::Relaxed)) else {
                     return;
                 };
-                let ended = play_one(wanted, how, &stop, &bars);
+                let ended = run_one(wanted, how, &stop, &bars);
                 // Nothing panics while it holds a lock.
                 let (Ok(mut done), Ok(mut failed)) = (done.lock(), failed.lock()) else { return };
                 match ended {
@@ -317,8 +319,13 @@
     }
 }
 
-fn play_one(wanted: &Wanted, how: &How, stop: &AtomicBool, bars: &MultiProgress) -> Result<Run, RealError> {
-    let Wanted { experiment, name, arm, seed, driver } = *wanted;
+fn run_one(
+    wanted: &PlannedRun,
+    how: &DriverArgs,
+    stop: &AtomicBool,
+    bars: &MultiProgress,
+) -> Result<Run, RealError> {
+    let PlannedRun { experiment, name, arm, seed, driver } = *wanted;
     let length = model::micros(experiment.lead + experiment.length);
     let style = ProgressStyle::with_template("{prefix:32} {bar:30} {percent:>3}% {elapsed}");
     let bar = bars.add(ProgressBar::new(length));
@@ -329,7 +336,7 @@
         Driver::Virtual
             if arm.peers || experiment.fault.iter().any(|fault| fault.what == FaultKind::NodeSlow) =>
         {
-            Err(RealError::OnlyReal(name.to_owned()))
+            Err(RealError::NeedsRealDriver(name.to_owned()))
         }
         Driver::Virtual => Ok(World::new(experiment, arm, seed).run(name, stop, &told)),
         Driver::Real => {
@@ -337,7 +344,13 @@
             let folder = folder.join(format!("walkpick-lab-{}-{name}-{seed}", std::process::id()));
             let lab = std::env::current_exe().unwrap_or_else(|_| "walkpick-lab".into());
             let program = how.node.clone().unwrap_or_else(|| lab.with_file_name("walkpick"));
-            let options = Options { program, lab, folder, lateness: how.lateness, company: None };
+            let options = Options {
+                program,
+                lab_program: lab,
+                folder,
+                max_lateness: how.lateness,
+                external_peers: None,
+            };
             let run = real::run(experiment, name, arm, seed, &options, stop, &told);
             if how.logs.is_none() && run.is_ok() {
                 // What is left behind is a folder of the system's for such things.
@@ -350,7 +363,7 @@
     run
 }
 
-fn known_arm(experiment: &Experiment, name: &str) -> Result<String, UnknownName> {
+fn resolve_arm(experiment: &Experiment, name: &str) -> Result<String, UnknownName> {
     let arms = experiment.arms();
     match arms.contains_key(name) {
         true => Ok(name.to_owned()),
@@ -361,7 +374,7 @@
     }
 }
 
-fn run_scale(experiment: &ScaleExperiment, args: &RunArgs) -> Done {
+fn run_scale(experiment: &ScaleExperiment, args: &RunArgs) -> CommandResult {
     if args.arm.is_some() || args.report.is_some() || args.how.driver.is_some() {
         let found = "--arm, --report or --driver".to_owned();
         let expected = format!("none of them with an experiment that has [{}]", experiment.kind.table);
@@ -377,18 +390,18 @@
     scale::run(experiment, &options, args.json.as_deref())
 }
 
-fn run(args: &RunArgs) -> Done {
+fn run(args: &RunArgs) -> CommandResult {
     if let Some(experiment) = ScaleExperiment::load(&args.file)? {
         return run_scale(&experiment, args);
     }
     let experiment = Experiment::load(&args.file)?;
     let arms = match &args.arm {
-        Some(arm) => judge::relative::with_reference_arms(&experiment, &[known_arm(&experiment, arm)?]),
+        Some(arm) => judge::relative::with_reference_arms(&experiment, &[resolve_arm(&experiment, arm)?]),
         None => experiment.arms().into_keys().collect(),
     };
-    let results = play(&experiment, &arms, args.seed..args.seed + args.seeds, args.jobs, &args.how)?;
+    let results = run_arms(&experiment, &arms, args.seed..args.seed + args.seeds, args.jobs, &args.how)?;
     if let Some(path) = &args.json {
-        let written = Written { experiment: &experiment, runs: &results };
+        let written = ResultsFile { experiment: &experiment, runs: &results };
         std::fs::write(path, serde_json::to_vec_pretty(&written)?)?;
     }
     if let Some(folder) = &args.report {
@@ -429,14 +442,14 @@
             good = false;
             continue;
         }
-        for broken in result.rules_broken.iter().take(SHOWN) {
+        for broken in result.rules_broken.iter().take(MAX_VIOLATIONS_SHOWN) {
             writeln!(
                 out,
                 "rule broken ({}, seed {}): {} at {:.3} s: {}",
                 result.arm, result.seed, broken.rule, broken.at_s, broken.what
             )?;
         }
-        let more = figure(result, "rules") - result.rules_broken.len().min(SHOWN) as f64;
+        let more = figure(result, "rules") - result.rules_broken.len().min(MAX_VIOLATIONS_SHOWN) as f64;
         if more > 0.0 {
             writeln!(out, "and {more} more ({}, seed {})", result.arm, result.seed)?;
         }
@@ -461,14 +474,14 @@
     result.figures.get(name).copied().unwrap_or(f64::NAN)
 }
 
-fn compare(args: &CompareArgs) -> Done {
+fn compare(args: &CompareArgs) -> CommandResult {
     let experiment = Experiment::load(&args.file)?;
-    let arms = args.arms.iter().map(|arm| known_arm(&experiment, arm)).collect::<Result<Vec<_>, _>>()?;
+    let arms = args.arms.iter().map(|arm| resolve_arm(&experiment, arm)).collect::<Result<Vec<_>, _>>()?;
     if !judge::FIGURES.iter().any(|(name, _)| *name == args.figure) {
         let expected = judge::FIGURES.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", ");
         return Err(UnknownName { found: args.figure.clone(), expected }.into());
     }
-    let results = play(&experiment, &arms, 1..1 + args.seeds, None, &args.how)?;
+    let results = run_arms(&experiment, &arms, 1..1 + args.seeds, None, &args.how)?;
     let of = |arm: &str| -> Vec<f64> {
         let runs = results.iter().filter(|result| result.arm == arm);
         runs.filter_map(|result| result.figures.get(args.figure.as_str()).copied()).collect()
@@ -491,12 +504,12 @@
     Ok(true)
 }
 
-fn calibrate(args: &CalibrateArgs) -> Done {
+fn calibrate(args: &CalibrateArgs) -> CommandResult {
     let experiment = Experiment::load(&args.file)?;
-    let arm = known_arm(&experiment, &args.arm)?;
+    let arm = resolve_arm(&experiment, &args.arm)?;
     let under = |driver| {
-        let how = How { driver: Some(driver), ..args.how.clone() };
-        play(&experiment, std::slice::from_ref(&arm), 1..1 + args.seeds, None, &how)
+        let how = DriverArgs { driver: Some(driver), ..args.how.clone() };
+        run_arms(&experiment, std::slice::from_ref(&arm), 1..1 + args.seeds, None, &how)
     };
     let (real, simulated) = (under(Driver::Real)?, under(Driver::Virtual)?);
     let void: Vec<_> = real.iter().filter_map(|run| run.void.as_ref()).collect();
@@ -546,23 +559,23 @@
     Ok(same && void.is_empty())
 }
 
-fn replay(file: &Path, how: &How) -> Done {
+fn replay(file: &Path, how: &DriverArgs) -> CommandResult {
     let fault = |place: String, what: String| ExperimentError::Invalid {
         path: file.to_owned(),
         diagnostics: vec![experiment::Diagnostic { location: place, message: what }],
     };
     let text = std::fs::read_to_string(file)
         .map_err(|error| ExperimentError::Unreadable { path: file.to_owned(), error })?;
-    let kept: Kept = serde_json::from_str(&text).map_err(|error| {
+    let kept: RecordedResults = serde_json::from_str(&text).map_err(|error| {
         let what = format!("{error}; expected what run --json wrote");
         fault(format!("line {}", error.line()), what)
     })?;
     let mut all_same = true;
     let mut out = io::stdout().lock();
     for run in &kept.runs {
-        let arm = known_arm(&kept.experiment, &run.arm)?;
-        let how = How { driver: Some(run.driver), ..how.clone() };
-        let again = play(&kept.experiment, &[arm], run.seed..run.seed + 1, None, &how)?;
+        let arm = resolve_arm(&kept.experiment, &run.arm)?;
+        let how = DriverArgs { driver: Some(run.driver), ..how.clone() };
+        let again = run_arms(&kept.experiment, &[arm], run.seed..run.seed + 1, None, &how)?;
         let Some(again) = again.first() else { return Ok(false) };
         // What a value could not be written as, it has no place in.
         let other = run.figures.iter().find(|(name, value)| {
--- a/lab/src/measure/stage/mod.rs
+++ b/lab/src/measure/stage/mod.rs
@@ -6,7 +6,7 @@
 pub mod usage;
 
 use super::{MeasureError, Programs};
-use crate::real::link::Reserved;
+use crate::real::link::ReservedPort;
 use crate::real::process::Process;
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 use nix::sys::signal::Signal;
@@ -84,7 +84,7 @@
     process: Process,
     address: SocketAddr,
     log: PathBuf,
-    _reserved: Reserved,
+    _reserved: ReservedPort,
 }
 
 impl Node {
@@ -96,7 +96,7 @@
         discovery: SocketAddr,
         further: Value,
     ) -> Result<Self, MeasureError> {
-        let reserved = Reserved::tcp().map_err(MeasureError::machine("a port for the node"))?;
+        let reserved = ReservedPort::tcp().map_err(MeasureError::machine("a port for the node"))?;
         let (config, log) =
             (folder.path().join(format!("{name}.json")), folder.path().join(format!("{name}.log")));
         let text = configuration(name, reserved.address(), discovery, further).to_string();
@@ -143,7 +143,7 @@
     /// Tells it to go, and waits until it is gone.
     pub async fn stop(mut self) -> Result<(), MeasureError> {
         self.process.signal(Signal::SIGTERM);
-        match self.process.finish(PATIENCE).await {
+        match self.process.wait_or_kill(PATIENCE).await {
             Some(_) => Ok(()),
             None => Err(MeasureError::Late("the node's end")),
         }
--- a/lab/src/real/faults.rs
+++ b/lab/src/real/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that meet processes, links and discovery.
+//! Applies faults to node processes, links and discovery.
 
 use super::lab::Lab;
 use super::{clients, nodes};
@@ -13,99 +13,102 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
-/// Turns of a process that gets a share of its time.
-const TURN: Duration = Duration::from_millis(100);
-/// What a fault did to a node's connections may show this much later.
-const AFTERMATH: Micros = SECOND / 2;
-/// A node that is started again has this long to be ready.
-const READY: Duration = Duration::from_secs(30);
+/// Period of the stop/continue cycle of a slowed process.
+const SLOW_PERIOD: Duration = Duration::from_millis(100);
+/// Effects of a fault on a node's connections may show up to this much later.
+const RECOVERY_MARGIN: Micros = SECOND / 2;
+/// Time limit for a restarted node to become ready.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A fault begins, goes on or ends.
-pub fn meet(lab: &Rc<Lab>, trouble: usize, begins: bool, step: usize) {
+/// Applies the beginning, a step or the end of a fault.
+pub fn apply(lab: &Rc<Lab>, fault_index: usize, begins: bool, step: usize) {
     let plan = lab.plan.clone();
-    let fault = &plan.experiment.fault[trouble];
-    let met = plan.affected(trouble, plan.experiment.deployment.nodes as usize, fault.part);
+    let fault = &plan.experiment.fault[fault_index];
+    let affected = plan.affected(fault_index, plan.experiment.deployment.nodes as usize, fault.part);
     match fault.what {
-        FaultKind::NodeKilled => met.into_iter().for_each(|node| match begins {
-            true => under_way(lab, kill(lab.clone(), node)),
-            false => under_way(lab, start(lab.clone(), node)),
+        FaultKind::NodeKilled => affected.into_iter().for_each(|node| match begins {
+            true => spawn_tracked(lab, kill(lab.clone(), node)),
+            false => spawn_tracked(lab, start(lab.clone(), node)),
         }),
-        FaultKind::NodeTerminated => met.into_iter().for_each(|node| match begins {
-            true => under_way(lab, terminate(lab.clone(), node)),
-            false => under_way(lab, start(lab.clone(), node)),
+        FaultKind::NodeTerminated => affected.into_iter().for_each(|node| match begins {
+            true => spawn_tracked(lab, terminate(lab.clone(), node)),
+            false => spawn_tracked(lab, start(lab.clone(), node)),
         }),
         FaultKind::NodesRolled if begins => {
-            if let Some(&node) = met.get(step) {
+            if let Some(&node) = affected.get(step) {
                 let held = lab.clone();
-                under_way(lab, async move {
+                spawn_tracked(lab, async move {
                     terminate(held.clone(), node).await;
                     start(held, node).await;
                 });
             }
         }
-        FaultKind::NodePaused => met.into_iter().for_each(|node| {
-            trouble_node(lab, node, begins);
-            let doing = if begins { NodeState::Paused } else { NodeState::Serving };
-            lab.state.borrow_mut().record.node_state_changed(node, doing, lab.now());
+        FaultKind::NodePaused => affected.into_iter().for_each(|node| {
+            set_disturbed(lab, node, begins);
+            let state = if begins { NodeState::Paused } else { NodeState::Serving };
+            lab.state.borrow_mut().record.node_state_changed(node, state, lab.now());
             signal(lab, node, if begins { Signal::SIGSTOP } else { Signal::SIGCONT });
         }),
         FaultKind::NodeSlow if begins => {
             let until = plan.lead() + micros(fault.to);
-            for node in met {
-                under_way(lab, slow(lab.clone(), node, fault.size, until));
+            for node in affected {
+                spawn_tracked(lab, slow(lab.clone(), node, fault.size, until));
             }
         }
         FaultKind::NodeReloaded if begins => {
-            for node in met {
+            for node in affected {
                 if let Err(error) = nodes::move_agent(lab, node) {
-                    lab.state.borrow_mut().void.get_or_insert(format!("n{node} cannot be reloaded: {error}"));
+                    lab.state
+                        .borrow_mut()
+                        .void_reason
+                        .get_or_insert(format!("n{node} cannot be reloaded: {error}"));
                 }
-                // One that is only just starting reads the new file.
+                // A node that is still starting reads the new file anyway.
                 if lab.state.borrow().nodes[node].ready {
                     signal(lab, node, Signal::SIGHUP);
                 }
             }
         }
         FaultKind::NodeClock => {
-            for node in met {
-                lab.state.borrow_mut().nodes[node].clock_s = if begins { fault.size } else { 0.0 };
+            for node in affected {
+                lab.state.borrow_mut().nodes[node].clock_offset_s = if begins { fault.size } else { 0.0 };
             }
         }
         FaultKind::Link => {
-            let on = begins && step.is_multiple_of(2);
+            let active = begins && step.is_multiple_of(2);
             let state = &mut *lab.state.borrow_mut();
-            let Some(met) = state.links.set_fault(&plan, trouble, on) else { return };
+            let Some(affected) = state.links.set_fault(&plan, fault_index, active) else { return };
             state.refresh_links();
-            if met.remote == RemoteKind::Client {
-                let until = if begins { Micros::MAX } else { lab.now() + AFTERMATH };
-                met.nodes.iter().for_each(|&node| state.nodes[node].troubled = until);
+            if affected.remote == RemoteKind::Client {
+                let until = if begins { Micros::MAX } else { lab.now() + RECOVERY_MARGIN };
+                affected.nodes.iter().for_each(|&node| state.nodes[node].disturbed_until = until);
             }
-            if on && fault.link.as_ref().is_some_and(|link| link.reset) {
-                state.reset_links(&met);
+            if active && fault.link.as_ref().is_some_and(|link| link.reset) {
+                state.reset_links(&affected);
             }
         }
         FaultKind::DiscoveryLate | FaultKind::DiscoveryLoses => {
             lab.state.borrow_mut().discovery.apply_fault(&plan, fault, begins);
         }
-        // The end of a fault that ends by itself, and those of the model.
+        // Faults that end by themselves, and those that the fleet model handles.
         _ => {}
     }
 }
 
-/// Goes on beside the run, which is not over before.
-fn under_way(lab: &Rc<Lab>, work: impl Future<Output = ()> + 'static) {
-    lab.state.borrow_mut().under_way += 1;
+/// Spawns a task that the run waits for before it ends.
+fn spawn_tracked(lab: &Rc<Lab>, work: impl Future<Output = ()> + 'static) {
+    lab.state.borrow_mut().active_tasks += 1;
     let lab = lab.clone();
     spawn_local(async move {
         work.await;
-        lab.state.borrow_mut().under_way -= 1;
+        lab.state.borrow_mut().active_tasks -= 1;
     });
 }
 
-/// Something meets a node's process, or no longer does.
-fn trouble_node(lab: &Lab, node: usize, begins: bool) {
-    let until = if begins { Micros::MAX } else { lab.now() + AFTERMATH };
-    lab.state.borrow_mut().nodes[node].troubled = until;
+/// Marks a node as disturbed by a fault, or as disturbed only for the recovery margin once the fault ends.
+fn set_disturbed(lab: &Lab, node: usize, begins: bool) {
+    let until = if begins { Micros::MAX } else { lab.now() + RECOVERY_MARGIN };
+    lab.state.borrow_mut().nodes[node].disturbed_until = until;
 }
 
 fn signal(lab: &Lab, node: usize, signal: Signal) {
@@ -115,14 +118,14 @@
 }
 
 async fn kill(lab: Rc<Lab>, node: usize) {
-    trouble_node(&lab, node, true);
+    set_disturbed(&lab, node, true);
     let process = {
         let state = &mut *lab.state.borrow_mut();
         state.record.node_state_changed(node, NodeState::Down, lab.now());
         let node = &mut state.nodes[node];
         node.died = Some(lab.now());
-        node.idle.clear();
-        node.account();
+        node.idle_connections.clear();
+        node.accumulate_usage();
         node.process.take()
     };
     if let Some(mut process) = process {
@@ -130,31 +133,33 @@
     }
 }
 
-/// Tells a node to go, as at a planned restart, and kills it when it has not.
+/// Sends SIGTERM as in a planned restart, and kills the node if it does not exit in time.
 async fn terminate(lab: Rc<Lab>, node: usize) {
     signal(&lab, node, Signal::SIGTERM);
     lab.state.borrow_mut().record.node_state_changed(node, NodeState::Leaving, lab.now());
-    let told = tokio::time::Instant::now();
-    let kill_at = told + Duration::from_micros(lab.plan.kill_delay());
+    let signalled_at = tokio::time::Instant::now();
+    let kill_at = signalled_at + Duration::from_micros(lab.plan.kill_delay());
     sleep(Duration::from_micros(FRONT_DRAIN_DELAY)).await;
     let process = {
         let state = &mut *lab.state.borrow_mut();
         let node = &mut state.nodes[node];
         node.ready = false;
-        node.account();
+        node.accumulate_usage();
         node.process.take()
     };
     let Some(mut process) = process else { return };
     let limit = kill_at.saturating_duration_since(tokio::time::Instant::now());
-    let ended = process.finish(limit).await;
+    let ended = process.wait_or_kill(limit).await;
     lab.state.borrow_mut().record.node_state_changed(node, NodeState::Down, lab.now());
     match ended {
         Some(status) if status.success() => {}
         ended => {
-            let how =
-                ended.map_or_else(|| "had to be killed".to_owned(), |status| format!("ended with {status}"));
+            let how = ended.map_or_else(
+                || "did not exit in time and was killed".to_owned(),
+                |status| format!("ended with {status}"),
+            );
             let state = &mut *lab.state.borrow_mut();
-            let what = || format!("n{node}, told to go, {how}: {}", process.last_words());
+            let what = || format!("n{node}, after SIGTERM, {how}: {}", process.log_tail());
             state.record.violation(lab.now(), "crash", what);
         }
     }
@@ -163,33 +168,33 @@
 async fn start(lab: Rc<Lab>, node: usize) {
     match nodes::start(&lab, node) {
         Ok(()) => {
-            if clients::wait_until_healthy(&lab, node, READY).await {
+            if clients::wait_until_ready(&lab, node, STARTUP_TIMEOUT).await {
                 let state = &mut *lab.state.borrow_mut();
                 state.nodes[node].ready = true;
                 state.nodes[node].died = None;
-                state.nodes[node].troubled = lab.now();
+                state.nodes[node].disturbed_until = lab.now();
                 state.record.node_state_changed(node, NodeState::Serving, lab.now());
             }
         }
         Err(error) => {
-            lab.state.borrow_mut().void.get_or_insert(error.to_string());
+            lab.state.borrow_mut().void_reason.get_or_insert(error.to_string());
         }
     }
 }
 
-/// Gives a process a share of its time alone, by turns.
+/// Limits a process to a share of the time by alternating SIGSTOP and SIGCONT.
 async fn slow(lab: Rc<Lab>, node: usize, share: f64, until: Micros) {
-    trouble_node(&lab, node, true);
+    set_disturbed(&lab, node, true);
     lab.state.borrow_mut().record.node_state_changed(node, NodeState::Slow, lab.now());
-    let runs = TURN.mul_f64(share.clamp(0.01, 1.0));
+    let runs = SLOW_PERIOD.mul_f64(share.clamp(0.01, 1.0));
     let mut next = tokio::time::Instant::now();
     while lab.now() < until {
         signal(&lab, node, Signal::SIGSTOP);
-        sleep_until(next + TURN - runs).await;
+        sleep_until(next + SLOW_PERIOD - runs).await;
         signal(&lab, node, Signal::SIGCONT);
-        next += TURN;
+        next += SLOW_PERIOD;
         sleep_until(next).await;
     }
-    trouble_node(&lab, node, false);
+    set_disturbed(&lab, node, false);
     lab.state.borrow_mut().record.node_state_changed(node, NodeState::Serving, lab.now());
 }
--- a/lab/src/real/nodes.rs
+++ b/lab/src/real/nodes.rs
@@ -1,10 +1,13 @@
-//! The nodes of a run: their folder, configuration, links, start and end.
+//! The nodes of a run: configuration, links and start.
 
 use super::agent;
-use super::lab::{Lab, Meets, Node};
-use super::link::{mesh, own_address, Door, Far, Link, Reserved, ReservedDatagrams, WayOf};
-use super::process::{Process, ProcessError, Used};
-use super::Reached;
+use super::lab::{Lab, Node, PeerEndpoint};
+use super::link::{
+    mesh, unique_loopback_address, Destination, Link, PeerImpairment, RelayListener, ReservedPort,
+    ReservedUdpPort,
+};
+use super::process::{Process, ProcessError, ResourceUsage};
+use super::PeerAddress;
 use crate::draw::{self, Stream};
 use crate::model::links::Impairment;
 use serde_json::{json, Value};
@@ -14,98 +17,104 @@
 use tokio::sync::watch;
 use walkpick::{DedupScope, Effect};
 
-/// The first nodes are everybody's seeds.
-const SEEDS: usize = 3;
-/// Descriptors of a node, as on the scored days.
-const SOCKETS: u32 = 1_024;
+/// Number of nodes, from the first on, that serve as seeds for all.
+const SEED_COUNT: usize = 3;
+/// Descriptor limit of a node, as in the target deployment.
+const MAX_SOCKETS: u32 = 1_024;
 
-/// Puts the nodes in place, each with links of its own; none is started.
-pub fn place(lab: &Rc<Lab>) -> io::Result<()> {
+/// Creates the nodes with their links, without starting them.
+pub fn create(lab: &Rc<Lab>) -> io::Result<()> {
     let count = lab.plan.experiment.deployment.nodes as usize;
     for i in 0..count {
-        let (clients, discovery) = (link(lab, i, 1), link(lab, i, 2));
+        let (clients, discovery) = (new_link(lab, i, 1), new_link(lab, i, 2));
         let node = Node {
             name: format!("n{i}"),
             zone: lab.plan.node_zone(i),
-            address: Reserved::tcp()?,
+            address: ReservedPort::tcp()?,
             config: lab.options.folder.join(format!("n{i}.json")),
             log: lab.options.folder.join(format!("n{i}.log")),
             process: None,
-            life: 0,
-            used: Used::default(),
+            incarnation: 0,
+            usage: ResourceUsage::default(),
             ready: false,
             died: None,
-            troubled: 0,
+            disturbed_until: 0,
             agent: open_agent(lab, i, &discovery)?,
             clients,
             discovery,
             servers: Vec::new(),
-            meets: None,
-            heard: Vec::new(),
-            news: watch::Sender::new(0),
-            told: HashMap::new(),
-            clock_s: 0.0,
-            idle: Vec::new(),
+            peer_endpoint: None,
+            updates: Vec::new(),
+            update_count: watch::Sender::new(0),
+            notified: HashMap::new(),
+            clock_offset_s: 0.0,
+            idle_connections: Vec::new(),
         };
         lab.state.borrow_mut().nodes.push(node);
     }
-    lab.open_doors()
+    lab.open_server_links()
 }
 
-/// Lays the links between nodes, where they meet their peers.
-pub async fn meet(lab: &Rc<Lab>) -> io::Result<()> {
+/// Opens the datagram links between the nodes.
+pub async fn connect_peers(lab: &Rc<Lab>) -> io::Result<()> {
     let count = lab.state.borrow().nodes.len();
-    let address = own_address();
-    let own = (0..count).map(|_| ReservedDatagrams::new(address)).collect::<io::Result<Vec<_>>>()?;
+    let address = unique_loopback_address();
+    let own = (0..count).map(|_| ReservedUdpPort::new(address)).collect::<io::Result<Vec<_>>>()?;
     let held = Rc::downgrade(lab);
-    let ways: WayOf = Rc::new(move |one, two| {
+    let impairment: PeerImpairment = Rc::new(move |from, to| {
         let lab = held.upgrade();
-        lab.map_or_else(Impairment::default, |lab| lab.state.borrow().links.between_peers(one, two))
+        lab.map_or_else(Impairment::default, |lab| lab.state.borrow().links.between_peers(from, to))
     });
-    let reached = mesh(own.iter().map(ReservedDatagrams::address).collect(), ways, lab.plan.seed).await?;
+    let reached = mesh(own.iter().map(ReservedUdpPort::address).collect(), impairment, lab.plan.seed).await?;
     let state = &mut *lab.state.borrow_mut();
     for (node, (address, advertise)) in state.nodes.iter_mut().zip(own.into_iter().zip(reached)) {
-        node.meets = Some(Meets { address, advertise });
+        node.peer_endpoint = Some(PeerEndpoint { address, advertise });
     }
     Ok(())
 }
 
-/// Tells those who hold further peers where the nodes are.
-pub fn tell_company(lab: &Lab) {
-    let Some(company) = &lab.options.company else { return };
+/// Sends the addresses of the nodes to the holder of the external peers.
+pub fn report_peer_addresses(lab: &Lab) {
+    let Some(external) = &lab.options.external_peers else { return };
     let state = lab.state.borrow();
-    let meets = state.nodes.iter().filter_map(|node| node.meets.as_ref());
-    let reached = meets.map(|meets| Reached { advertise: meets.advertise, source: meets.address.address() });
-    // Whoever asked may have gone; the nodes' run is not theirs alone.
-    let _ = company.nodes.try_send(reached.collect());
+    let endpoint = state.nodes.iter().filter_map(|node| node.peer_endpoint.as_ref());
+    let reached = endpoint
+        .map(|endpoint| PeerAddress { advertise: endpoint.advertise, source: endpoint.address.address() });
+    // The receiver may have been dropped; the run goes on without it.
+    let _ = external.node_addresses.try_send(reached.collect());
 }
 
-fn link(lab: &Lab, node: usize, which: u64) -> Link {
+fn new_link(lab: &Lab, node: usize, which: u64) -> Link {
     Link::new(draw::unit(lab.plan.seed, Stream::Network, (node as u64) << 8 | which | 1 << 50).to_bits())
 }
 
-fn open_agent(lab: &Rc<Lab>, node: usize, link: &Link) -> io::Result<Door> {
+fn open_agent(lab: &Rc<Lab>, node: usize, link: &Link) -> io::Result<RelayListener> {
     let held = Rc::downgrade(lab);
-    let take = move |stream| {
+    let handler = move |stream| {
         if let Some(lab) = held.upgrade() {
             tokio::task::spawn_local(agent::connection(lab, node, stream));
         }
     };
-    Door::open(link, Far::Here(Rc::new(take)))
+    RelayListener::open(link, Destination::InProcess(Rc::new(handler)))
 }
 
-/// Starts a node under its name and address, with the list that its agent holds.
+/// Starts a node with the server list that its agent currently holds.
 pub fn start(lab: &Rc<Lab>, node: usize) -> Result<(), ProcessError> {
     let known = lab.state.borrow().discovery.known_entries(node);
     write_config(lab, node)?;
-    // What stands in its configuration was told to it.
-    lab.told(node, &known);
+    // The node learns these entries from its configuration.
+    lab.record_notified(node, &known);
     let state = &mut *lab.state.borrow_mut();
     let node = &mut state.nodes[node];
-    node.life += 1;
-    let let_go = || node.meets.iter().for_each(|meets| meets.address.let_go());
-    node.process =
-        Some(Process::start(&lab.options.lab, &lab.options.program, &node.config, &node.log, let_go)?);
+    node.incarnation += 1;
+    let release = || node.peer_endpoint.iter().for_each(|endpoint| endpoint.address.release());
+    node.process = Some(Process::start(
+        &lab.options.lab_program,
+        &lab.options.program,
+        &node.config,
+        &node.log,
+        release,
+    )?);
     Ok(())
 }
 
@@ -115,50 +124,50 @@
     std::fs::write(&config, text).map_err(|error| ProcessError::Start { program: config, error })
 }
 
-/// Discovery's agent of a node moves to another address, which its configuration names from now on.
+/// Moves the discovery agent of a node to another address and rewrites the node's configuration.
 pub fn move_agent(lab: &Rc<Lab>, node: usize) -> io::Result<()> {
-    let new = link(lab, node, 3);
+    let new = new_link(lab, node, 3);
     let agent = open_agent(lab, node, &new)?;
     {
         let state = &mut *lab.state.borrow_mut();
         let held = &mut state.nodes[node];
-        held.discovery.set(|now| now.down = true);
+        held.discovery.update(|now| now.down = true);
         (held.discovery, held.agent) = (new, agent);
     }
     write_config(lab, node).map_err(io::Error::other)
 }
 
 fn config(lab: &Rc<Lab>, node: usize) -> Value {
-    let known = agent::known(lab, node);
+    let known = agent::initial_list(lab, node);
     let state = lab.state.borrow();
     let held = &state.nodes[node];
-    let seed = lab.plan.node_seed(node, held.life);
+    let seed = lab.plan.node_seed(node, held.incarnation);
     let mut config = json!({
         "name": held.name, "listen": held.address.address().to_string(), "seed": format!("{seed:016x}"),
         "discovery": held.agent.address().to_string(), "known": known,
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": MAX_SOCKETS},
         "settings": settings(lab, held),
     });
-    if let Some(meets) = &held.meets {
-        let company = lab.options.company.iter().flat_map(|company| &company.seeds);
+    if let Some(endpoint) = &held.peer_endpoint {
+        let external = lab.options.external_peers.iter().flat_map(|external| &external.seeds);
         let seeds = state
             .nodes
             .iter()
-            .take(SEEDS)
-            .filter_map(|node| Some(node.meets.as_ref()?.advertise.to_string()))
-            .chain(company.map(ToString::to_string));
+            .take(SEED_COUNT)
+            .filter_map(|node| Some(node.peer_endpoint.as_ref()?.advertise.to_string()))
+            .chain(external.map(ToString::to_string));
         config["walkpick"] = json!({"peers": {
-            "listen": meets.address.address().to_string(), "advertise": meets.advertise.to_string(),
+            "listen": endpoint.address.address().to_string(), "advertise": endpoint.advertise.to_string(),
             "seeds": seeds.collect::<Vec<_>>(), "cluster": "lab",
         }, "log": {"format": "json"}});
-        if let Some(company) = &lab.options.company {
+        if let Some(external) = &lab.options.external_peers {
             let time = |time| humantime::format_duration(time).to_string();
             let peers = &mut config["walkpick"]["peers"];
-            peers["region"] = company.location.region.clone().into();
-            peers["zone"] = company.location.zone.clone().into();
-            peers["probe_every"] = time(company.probe_every).into();
-            peers["probe_timeout"] = time(company.probe_timeout).into();
-            if company.dissemination {
+            peers["region"] = external.location.region.clone().into();
+            peers["zone"] = external.location.zone.clone().into();
+            peers["probe_every"] = time(external.probe_every).into();
+            peers["probe_timeout"] = time(external.probe_timeout).into();
+            if external.dissemination {
                 peers["dissemination"] = "on".into();
                 config["walkpick"]["log"]["levels"] = json!({"peers": "debug"});
             }
@@ -207,11 +216,11 @@
 }
 
 impl Node {
-    /// Adds what its process has used up to now; to be called before that ends.
-    pub fn account(&mut self) {
-        if let Some(used) = self.process.as_ref().and_then(Process::used) {
-            self.used.cpu_s += used.cpu_s;
-            self.used.memory_mb = self.used.memory_mb.max(used.memory_mb);
+    /// Adds the resource usage of the current process; must be called before the process ends.
+    pub fn accumulate_usage(&mut self) {
+        if let Some(used) = self.process.as_ref().and_then(Process::usage) {
+            self.usage.cpu_s += used.cpu_s;
+            self.usage.memory_mb = self.usage.memory_mb.max(used.memory_mb);
         }
     }
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -9,11 +9,11 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-const WIDE: u32 = 880;
-const HIGH: u32 = 210;
+const PLOT_WIDTH: u32 = 880;
+const PLOT_HEIGHT: u32 = 210;
 /// A row of a plot of nodes, and the rows at the most.
-const ROW: u32 = 12;
-const ROWS: usize = 60;
+const ROW_HEIGHT: u32 = 12;
+const MAX_ROWS: usize = 60;
 /// Arms take these in turn.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 93, 160),
@@ -24,7 +24,7 @@
     RGBColor(90, 90, 90),
 ];
 
-type Drawn = Result<String, Box<dyn Error>>;
+type SvgResult = Result<String, Box<dyn Error>>;
 
 /// A line of a plot: its name, and a value for each second.
 type Line<'a> = (&'a str, Vec<f64>);
@@ -44,7 +44,7 @@
     }
     let mut plots = Vec::new();
     for (seed, runs) in &seeds {
-        plots.push((seed, of_seed(experiment, runs)?));
+        plots.push((seed, seed_plots(experiment, runs)?));
     }
     Ok(html! {
         (DOCTYPE)
@@ -72,7 +72,7 @@
                     }
                 }
                 h2 { "Broken rules" }
-                (broken(runs))
+                (violations(runs))
                 h2 { "What the figures mean" }
                 dl { @for (name, meaning) in FIGURES { dt { (name) } dd { (meaning) } } }
             }
@@ -91,7 +91,7 @@
                 tr { th { "fault" } th { "from" } th { "to" } th { "part" } th { "size" } }
                 @for fault in &experiment.fault {
                     tr {
-                        td { (name(fault)) }
+                        td { (fault_name(fault)) }
                         td { (humantime::format_duration(fault.from)) }
                         td { (humantime::format_duration(fault.to)) }
                         td { (fault.part) }
@@ -104,7 +104,7 @@
 }
 
 /// A fault's name as experiments have it.
-fn name(fault: &ScheduledFault) -> String {
+fn fault_name(fault: &ScheduledFault) -> String {
     serde_json::to_value(fault.what).ok().and_then(|name| Some(name.as_str()?.to_owned())).unwrap_or_default()
 }
 
@@ -145,7 +145,7 @@
     }
 }
 
-fn broken(runs: &[Run]) -> Markup {
+fn violations(runs: &[Run]) -> Markup {
     let none = runs.iter().all(|run| run.rules_broken.is_empty());
     html! {
         @if none { p { "None." } } @else {
@@ -161,7 +161,7 @@
     }
 }
 
-fn of_seed(experiment: &Experiment, runs: &[&Run]) -> Result<Vec<(String, String)>, Box<dyn Error>> {
+fn seed_plots(experiment: &Experiment, runs: &[&Run]) -> Result<Vec<(String, String)>, Box<dyn Error>> {
     let lines = |value: &dyn Fn(&Second) -> f64| -> Vec<Line> {
         runs.iter().map(|run| (run.arm.as_str(), run.series.iter().map(value).collect())).collect()
     };
@@ -177,21 +177,24 @@
     ];
     let mut drawn = Vec::new();
     for (title, lines) in plots {
-        drawn.push((title.to_owned(), plot(experiment, &lines)?));
+        drawn.push((title.to_owned(), line_plot(experiment, &lines)?));
     }
     for run in runs.iter().filter(|run| !run.spans.is_empty()) {
-        drawn.push((format!("What nodes did that were not serving, {}", run.arm), nodes(experiment, run)?));
+        drawn.push((
+            format!("What nodes did that were not serving, {}", run.arm),
+            node_timeline(experiment, run)?,
+        ));
     }
     Ok(drawn)
 }
 
-fn plot(experiment: &Experiment, lines: &[Line]) -> Drawn {
+fn line_plot(experiment: &Experiment, lines: &[Line]) -> SvgResult {
     let most = lines.iter().flat_map(|(_, values)| values.iter().copied()).fold(0.0, f64::max);
     let high = if most > 0.0 { most * 1.08 } else { 1.0 };
     let length = experiment.length.as_secs_f64();
     let mut svg = String::new();
     {
-        let root = SVGBackend::with_string(&mut svg, (WIDE, HIGH)).into_drawing_area();
+        let root = SVGBackend::with_string(&mut svg, (PLOT_WIDTH, PLOT_HEIGHT)).into_drawing_area();
         let mut chart = ChartBuilder::on(&root)
             .margin(8)
             .x_label_area_size(24)
@@ -220,7 +223,7 @@
     Ok(svg)
 }
 
-fn colour(doing: NodeState) -> (RGBColor, &'static str) {
+fn state_style(doing: NodeState) -> (RGBColor, &'static str) {
     match doing {
         NodeState::Serving => (RGBColor(200, 220, 200), "serving"),
         NodeState::Leaving => (RGBColor(214, 170, 60), "leaving"),
@@ -230,17 +233,17 @@
     }
 }
 
-fn nodes(experiment: &Experiment, run: &Run) -> Drawn {
+fn node_timeline(experiment: &Experiment, run: &Run) -> SvgResult {
     let mut rows: Vec<_> = run.spans.iter().map(|span| span.node).collect();
     rows.sort_unstable();
     rows.dedup();
-    let left_out = rows.len().saturating_sub(ROWS);
-    rows.truncate(ROWS);
+    let left_out = rows.len().saturating_sub(MAX_ROWS);
+    rows.truncate(MAX_ROWS);
     let length = experiment.length.as_secs_f64();
-    let high = ROW * rows.len() as u32 + 60;
+    let high = ROW_HEIGHT * rows.len() as u32 + 60;
     let mut svg = String::new();
     {
-        let root = SVGBackend::with_string(&mut svg, (WIDE, high)).into_drawing_area();
+        let root = SVGBackend::with_string(&mut svg, (PLOT_WIDTH, high)).into_drawing_area();
         let mut chart = ChartBuilder::on(&root)
             .margin(8)
             .x_label_area_size(24)
@@ -254,7 +257,7 @@
             .y_label_formatter(&label)
             .draw()?;
         for doing in [NodeState::Leaving, NodeState::Paused, NodeState::Slow, NodeState::Down] {
-            let (fill, name) = colour(doing);
+            let (fill, name) = state_style(doing);
             let spans = run.spans.iter().filter(|span| span.state == doing);
             let bars: Vec<_> = spans
                 .filter_map(|span| {
--- a/lab/src/tests.rs
+++ b/lab/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn virtual_driver() -> How {
-    How { driver: Some(Driver::Virtual), node: None, logs: None, lateness: Duration::ZERO }
+fn virtual_driver() -> DriverArgs {
+    DriverArgs { driver: Some(Driver::Virtual), node: None, logs: None, lateness: Duration::ZERO }
 }
 
 fn play(
@@ -10,7 +10,7 @@
     seeds: std::ops::Range<u64>,
     jobs: Option<usize>,
 ) -> Vec<Run> {
-    super::play(experiment, arms, seeds, jobs, &virtual_driver()).unwrap()
+    super::run_arms(experiment, arms, seeds, jobs, &virtual_driver()).unwrap()
 }
 
 /// All shipped experiment files, each of which must be of one of the two formats.
--- a/lab/tests/processes.rs
+++ b/lab/tests/processes.rs
@@ -208,8 +208,8 @@
         let mut process = Process::start(Path::new(LAB), &program, &config, &log, || {}).unwrap();
         wait_for("its word", || std::fs::read_to_string(&log).unwrap().contains("ready").then_some(()));
         process.signal(nix::sys::signal::Signal::SIGTERM);
-        assert_eq!(process.finish(Duration::from_millis(200)).await, None);
-        assert_eq!(process.used(), None, "it is gone");
+        assert_eq!(process.wait_or_kill(Duration::from_millis(200)).await, None);
+        assert_eq!(process.usage(), None, "it is gone");
     });
 }
 
