--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! walkpick-lab: rehearses failures on an emulated deployment, and judges what comes of them.
+//! walkpick-lab: runs failure experiments on an emulated deployment and evaluates the results.
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{MultiProgress, ProgressBar, ProgressStyle};
@@ -27,7 +27,11 @@
 use walkpick_lab::{model, report};
 
 #[derive(Debug, Parser)]
-#[command(name = "walkpick-lab", version, about = "Rehearses failures on an emulated deployment of walkpick")]
+#[command(
+    name = "walkpick-lab",
+    version,
+    about = "Runs failure experiments on an emulated deployment of walkpick"
+)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -35,57 +39,57 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run an experiment, on one seed or several, and hold it against its checks
+    /// Run an experiment on one or more seeds and evaluate its checks
     Run(RunArgs),
-    /// Run two arms on the same seeds and tell whether they differ
+    /// Run two arms on the same seeds and report whether they differ
     Compare(CompareArgs),
-    /// Run an experiment with real nodes and in simulated time on the same seeds, and tell how far apart they lie
+    /// Run an experiment with real nodes and in simulated time on the same seeds, and report how far the results differ
     Calibrate(CalibrateArgs),
-    /// Run a load of ordered dissemination on any number of peers in simulated time
+    /// Run an ordered-dissemination workload on any number of peers in simulated time
     Dissemination(dissemination::DisseminationArgs),
-    /// Run cases of membership among any number of peers in simulated time
+    /// Run membership cases with any number of peers in simulated time
     Membership(membership::MembershipArgs),
-    /// Work out from a plan and the slopes what each role needs, and keep the page true
+    /// Compute the resources each role needs from a plan and the slopes, and write or check the capacity page
     Capacity(capacity::CapacityArgs),
-    /// Take measured series into the slopes file, or show it
+    /// Add measured series to the slopes file, or show it
     Slopes(slopes::SlopesArgs),
-    /// Run the control part of many nodes in few processes, on real sockets in real time
+    /// Run the control plane of many nodes in a few processes, on real sockets in real time
     Hollow(hollow::HollowArgs),
-    /// Become a process of hollow nodes, which the lab talks to
+    /// Run as a process of hollow nodes controlled by the lab
     #[command(hide = true)]
     HollowProcess,
-    /// Measure what grows with the fleet, as series for the capacity page
+    /// Measure costs that grow with the fleet, as series for the capacity page
     Measure(measure::MeasureArgs),
-    /// Be a child of `measure`
+    /// Run as a child process of `measure`
     #[command(hide = true, subcommand)]
     MeasureChild(measure::Child),
-    /// Run again what a JSON of results came from, and tell whether the same comes out
+    /// Repeat the runs of a JSON result file and report whether the results are the same
     Replay {
-        /// What `run --json` wrote
+        /// Result file written by `run --json`
         file: PathBuf,
         #[command(flatten)]
-        how: DriverArgs,
+        driver_args: DriverArgs,
     },
-    /// Write an experiment to begin with
+    /// Write a template experiment
     Init {
-        /// Where to; a file that is there already stays as it is
+        /// The file to create; an existing file is not overwritten
         file: PathBuf,
     },
-    /// List the experiments of a folder
+    /// List the experiments in a folder
     List {
         /// The folder
         #[arg(default_value = "lab/experiments")]
         folder: PathBuf,
     },
-    /// Tell what an experiment does, and what each figure means
+    /// Describe an experiment and the meaning of each figure
     Explain {
-        /// The experiment
+        /// The experiment file
         file: PathBuf,
     },
-    /// Become a program that ends when its parent does
+    /// Execute a program that is killed when its parent exits
     #[command(hide = true)]
     Hold {
-        /// The parent's id
+        /// Process id of the parent
         parent: i32,
         /// The program and its arguments
         #[arg(required = true, trailing_var_arg = true, allow_hyphen_values = true)]
@@ -95,92 +99,92 @@
 
 #[derive(Debug, Args)]
 struct RunArgs {
-    /// The experiment
+    /// The experiment file
     file: PathBuf,
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, from that one on
+    /// Number of consecutive seeds, from the first on
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// One arm alone, with those that its checks compare it with
+    /// Run only this arm and the arms that its checks compare it with
     #[arg(long)]
     arm: Option<String>,
-    /// Write the experiment and all results here as JSON
+    /// Write the experiment and all results to this file as JSON
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Write a page with plots into this folder
+    /// Write an HTML page with plots into this folder
     #[arg(long)]
     report: Option<PathBuf>,
-    /// Runs at once; where it is not given, one with real nodes, and else as many as there are cores
+    /// Number of concurrent runs; default: 1 with real nodes, otherwise the number of cores
     #[arg(long)]
     jobs: Option<usize>,
     #[command(flatten)]
-    how: DriverArgs,
+    driver_args: DriverArgs,
 }
 
-/// How runs are carried out.
+/// Options for carrying out runs.
 #[derive(Clone, Debug, Args)]
 struct DriverArgs {
-    /// Simulated time or real nodes; as the experiment says where it is not given
+    /// Simulated time or real nodes; default: as set in the experiment
     #[arg(long)]
     driver: Option<Driver>,
-    /// The node's program; the one beside this program where it is not given
+    /// The node program; default: `walkpick` in the directory of this program
     #[arg(long)]
     node: Option<PathBuf>,
-    /// Where configurations and logs of real nodes stay; where it is not given, they go with the run
+    /// Directory in which configurations and logs of real nodes are kept; default: they are deleted after the run
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// A run with real nodes is void if one in a hundred things came later than this, or one ten times as late
+    /// A run with real nodes is void if the 99th percentile of event lateness exceeds this, or the maximum ten times this
     #[arg(long, default_value = "10ms", value_parser = humantime::parse_duration)]
     lateness: Duration,
 }
 
 #[derive(Debug, Args)]
 struct CompareArgs {
-    /// The experiment
+    /// The experiment file
     file: PathBuf,
-    /// The two arms, with a comma between them
+    /// The two arms, separated by a comma
     #[arg(long, value_delimiter = ',', num_args = 2)]
     arms: Vec<String>,
-    /// How many seeds
+    /// Number of seeds
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// The figure that is compared
+    /// The figure to compare
     #[arg(long, default_value = "served")]
     figure: String,
-    /// Write JSON
+    /// Print JSON
     #[arg(long)]
     json: bool,
     #[command(flatten)]
-    how: DriverArgs,
+    driver_args: DriverArgs,
 }
 
 #[derive(Debug, Args)]
 struct CalibrateArgs {
-    /// The experiment
+    /// The experiment file
     file: PathBuf,
-    /// One arm alone; the program's where it is not given
+    /// The arm to run
     #[arg(long, default_value = "walkpick")]
     arm: String,
-    /// How many seeds
+    /// Number of seeds
     #[arg(long, default_value_t = 3)]
     seeds: u64,
-    /// Write JSON
+    /// Print JSON
     #[arg(long)]
     json: bool,
     #[command(flatten)]
-    how: DriverArgs,
+    driver_args: DriverArgs,
 }
 
-/// An experiment and what came of it, as JSON has it.
+/// An experiment with its results, as written by `run --json`.
 #[derive(Debug, Serialize)]
 struct ResultsFile<'a> {
     experiment: &'a Experiment,
     runs: &'a [Run],
 }
 
-/// What a replay needs of it.
+/// The part of a result file that a replay reads.
 #[derive(Debug, Deserialize)]
 struct RecordedResults {
     experiment: Experiment,
@@ -197,7 +201,7 @@
     figures: BTreeMap<String, Option<f64>>,
 }
 
-/// Broken rules of a run that the terminal shows; the JSON has more of them.
+/// Rule violations per run that are printed; the JSON file contains more.
 const MAX_VIOLATIONS_SHOWN: usize = 3;
 const EXIT_CHECK_FAILED: u8 = 1;
 const EXIT_BAD_INPUT: u8 = 2;
@@ -216,11 +220,11 @@
         Command::HollowProcess => hollow::run_process(),
         Command::Measure(args) => measure::run(&args),
         Command::MeasureChild(child) => measure::child(&child),
-        Command::Replay { file, how } => replay(&file, &how),
+        Command::Replay { file, driver_args } => replay(&file, &driver_args),
         Command::Init { file } => init(&file).map(|()| true),
         Command::List { folder } => list(&folder).map(|()| true),
         Command::Explain { file } => explain(&file).map(|()| true),
-        // It comes back only where it failed.
+        // Returns only on failure.
         Command::Hold { parent, command } => {
             Err(process::exec_bound_to_parent(parent, &command[0], &command[1..]).into())
         }
@@ -241,7 +245,7 @@
     }
 }
 
-/// Whether what was given is at fault.
+/// Whether the error is caused by the user's input.
 fn is_input_error(error: &(dyn Error + 'static)) -> bool {
     error.is::<ExperimentError>()
         || error.is::<UnknownName>()
@@ -254,7 +258,7 @@
 
 type CommandResult = Result<bool, Box<dyn Error>>;
 
-/// A run that is asked for.
+/// A run to be carried out.
 struct PlannedRun<'a> {
     experiment: &'a Experiment,
     name: &'a str,
@@ -263,16 +267,16 @@
     driver: Driver,
 }
 
-/// Plays arms on seeds, several at once; the results come in the order asked for. The first run that fails ends all.
+/// Runs arms on seeds concurrently. Results are in the order of arms and seeds. The first failing run stops all others.
 fn run_arms(
     experiment: &Experiment,
     arms: &[String],
     seeds: std::ops::Range<u64>,
     jobs: Option<usize>,
-    how: &DriverArgs,
+    driver_args: &DriverArgs,
 ) -> Result<Vec<Run>, Box<dyn Error>> {
-    let (all, driver) = (experiment.arms(), how.driver.unwrap_or(experiment.driver));
-    let wanted: Vec<_> = arms
+    let (all, driver) = (experiment.arms(), driver_args.driver.unwrap_or(experiment.driver));
+    let planned: Vec<_> = arms
         .iter()
         .flat_map(|name| {
             let arm = &all[name];
@@ -283,21 +287,21 @@
     let jobs = jobs.unwrap_or(if driver == Driver::Real { 1 } else { cores });
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
-        // A second one ends the process at once, and its children with it.
+        // A second signal ends the process at once, and its children with it.
         signal_hook::flag::register_conditional_shutdown(signal, 130, Arc::clone(&stop))?;
         signal_hook::flag::register(signal, Arc::clone(&stop))?;
     }
     let (next, done, failed) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()), Mutex::new(None));
     let bars = MultiProgress::new();
     std::thread::scope(|scope| {
-        for _ in 0..jobs.clamp(1, wanted.len().max(1)) {
+        for _ in 0..jobs.clamp(1, planned.len().max(1)) {
             scope.spawn(|| loop {
                 let place = next.fetch_add(1, Ordering::Relaxed);
-                let Some(wanted) = wanted.get(place).filter(|_| !stop.load(Ordering::Relaxed)) else {
+                let Some(planned) = planned.get(place).filter(|_| !stop.load(Ordering::Relaxed)) else {
                     return;
                 };
-                let ended = run_one(wanted, how, &stop, &bars);
-                // Nothing panics while it holds a lock.
+                let ended = run_one(planned, driver_args, &stop, &bars);
+                // Nothing panics while holding a lock.
                 let (Ok(mut done), Ok(mut failed)) = (done.lock(), failed.lock()) else { return };
                 match ended {
                     Ok(run) => drop(done.insert(place, run)),
@@ -320,40 +324,40 @@
 }
 
 fn run_one(
-    wanted: &PlannedRun,
-    how: &DriverArgs,
+    planned: &PlannedRun,
+    driver_args: &DriverArgs,
     stop: &AtomicBool,
     bars: &MultiProgress,
 ) -> Result<Run, RealError> {
-    let PlannedRun { experiment, name, arm, seed, driver } = *wanted;
+    let PlannedRun { experiment, name, arm, seed, driver } = *planned;
     let length = model::micros(experiment.lead + experiment.length);
     let style = ProgressStyle::with_template("{prefix:32} {bar:30} {percent:>3}% {elapsed}");
     let bar = bars.add(ProgressBar::new(length));
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar.set_prefix(format!("{} {name}, seed {seed}", experiment.name));
-    let told = |now: model::Micros| bar.set_position(now.min(length));
+    let progress = |now: model::Micros| bar.set_position(now.min(length));
     let run = match driver {
         Driver::Virtual
             if arm.peers || experiment.fault.iter().any(|fault| fault.what == FaultKind::NodeSlow) =>
         {
             Err(RealError::NeedsRealDriver(name.to_owned()))
         }
-        Driver::Virtual => Ok(World::new(experiment, arm, seed).run(name, stop, &told)),
+        Driver::Virtual => Ok(World::new(experiment, arm, seed).run(name, stop, &progress)),
         Driver::Real => {
-            let folder = how.logs.clone().unwrap_or_else(std::env::temp_dir);
+            let folder = driver_args.logs.clone().unwrap_or_else(std::env::temp_dir);
             let folder = folder.join(format!("walkpick-lab-{}-{name}-{seed}", std::process::id()));
             let lab = std::env::current_exe().unwrap_or_else(|_| "walkpick-lab".into());
-            let program = how.node.clone().unwrap_or_else(|| lab.with_file_name("walkpick"));
+            let program = driver_args.node.clone().unwrap_or_else(|| lab.with_file_name("walkpick"));
             let options = Options {
                 program,
                 lab_program: lab,
                 folder,
-                max_lateness: how.lateness,
+                max_lateness: driver_args.lateness,
                 external_peers: None,
             };
-            let run = real::run(experiment, name, arm, seed, &options, stop, &told);
-            if how.logs.is_none() && run.is_ok() {
-                // What is left behind is a folder of the system's for such things.
+            let run = real::run(experiment, name, arm, seed, &options, stop, &progress);
+            if driver_args.logs.is_none() && run.is_ok() {
+                // If removal fails, the files remain in the system's directory for temporary files.
                 let _ = std::fs::remove_dir_all(&options.folder);
             }
             run
@@ -375,7 +379,7 @@
 }
 
 fn run_scale(experiment: &ScaleExperiment, args: &RunArgs) -> CommandResult {
-    if args.arm.is_some() || args.report.is_some() || args.how.driver.is_some() {
+    if args.arm.is_some() || args.report.is_some() || args.driver_args.driver.is_some() {
         let found = "--arm, --report or --driver".to_owned();
         let expected = format!("none of them with an experiment that has [{}]", experiment.kind.table);
         return Err(UnknownName { found, expected }.into());
@@ -383,9 +387,9 @@
     let options = RunOptions {
         seeds: args.seed..args.seed + args.seeds,
         jobs: args.jobs,
-        node: args.how.node.clone(),
-        logs: args.how.logs.clone(),
-        lateness: args.how.lateness,
+        node: args.driver_args.node.clone(),
+        logs: args.driver_args.logs.clone(),
+        lateness: args.driver_args.lateness,
     };
     scale::run(experiment, &options, args.json.as_deref())
 }
@@ -399,7 +403,8 @@
         Some(arm) => judge::relative::with_reference_arms(&experiment, &[resolve_arm(&experiment, arm)?]),
         None => experiment.arms().into_keys().collect(),
     };
-    let results = run_arms(&experiment, &arms, args.seed..args.seed + args.seeds, args.jobs, &args.how)?;
+    let results =
+        run_arms(&experiment, &arms, args.seed..args.seed + args.seeds, args.jobs, &args.driver_args)?;
     if let Some(path) = &args.json {
         let written = ResultsFile { experiment: &experiment, runs: &results };
         std::fs::write(path, serde_json::to_vec_pretty(&written)?)?;
@@ -433,7 +438,7 @@
     let mut good = true;
     for result in &results {
         if result.interrupted {
-            writeln!(out, "ended early ({}, seed {}): nothing is judged", result.arm, result.seed)?;
+            writeln!(out, "interrupted ({}, seed {}): not evaluated", result.arm, result.seed)?;
             good = false;
             continue;
         }
@@ -462,7 +467,7 @@
             )?;
             good &= check.holds;
         }
-        // Arms that are broken on purpose have checks that say so; baselines are no program of ours.
+        // Deliberately broken arms have checks on rules; baselines are exempt, as they do not run walkpick's policy.
         let judged = result.checks.iter().any(|check| check.figure == "rules");
         let baseline = experiment.arms().get(&result.arm).is_some_and(|arm| arm.policy != Policy::Walkpick);
         good &= judged || baseline || result.rules_broken.is_empty();
@@ -481,25 +486,29 @@
         let expected = judge::FIGURES.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", ");
         return Err(UnknownName { found: args.figure.clone(), expected }.into());
     }
-    let results = run_arms(&experiment, &arms, 1..1 + args.seeds, None, &args.how)?;
+    let results = run_arms(&experiment, &arms, 1..1 + args.seeds, None, &args.driver_args)?;
     let of = |arm: &str| -> Vec<f64> {
         let runs = results.iter().filter(|result| result.arm == arm);
         runs.filter_map(|result| result.figures.get(args.figure.as_str()).copied()).collect()
     };
     let (one, two) = (of(&arms[0]), of(&arms[1]));
     let differences: Vec<_> = one.iter().zip(&two).map(|(one, two)| two - one).collect();
-    let (mean, half) = interval(&differences);
-    let shown = mean.abs() > half;
+    let (mean, half_width) = interval(&differences);
+    let significant = mean.abs() > half_width;
     let mut out = io::stdout().lock();
     if args.json {
         let text = serde_json::json!({"figure": args.figure, "arms": arms, "seeds": args.seeds, "values": [one, two],
-            "difference": mean, "half_width_95": half, "shown": shown});
+            "difference": mean, "half_width_95": half_width, "shown": significant});
         writeln!(out, "{text:#}")?;
     } else {
         let average = |values: &[f64]| values.iter().sum::<f64>() / values.len().max(1) as f64;
         writeln!(out, "{}: {} {:.4}, {} {:.4}", args.figure, arms[0], average(&one), arms[1], average(&two))?;
-        let word = if shown { "a difference" } else { "no difference shown" };
-        writeln!(out, "paired on {} seeds: {mean:+.4}, 95% within {half:.4} of it: {word}", args.seeds)?;
+        let word = if significant { "a difference" } else { "no difference shown" };
+        writeln!(
+            out,
+            "paired on {} seeds: {mean:+.4}, 95% within {half_width:.4} of it: {word}",
+            args.seeds
+        )?;
     }
     Ok(true)
 }
@@ -508,8 +517,8 @@
     let experiment = Experiment::load(&args.file)?;
     let arm = resolve_arm(&experiment, &args.arm)?;
     let under = |driver| {
-        let how = DriverArgs { driver: Some(driver), ..args.how.clone() };
-        run_arms(&experiment, std::slice::from_ref(&arm), 1..1 + args.seeds, None, &how)
+        let driver_args = DriverArgs { driver: Some(driver), ..args.driver_args.clone() };
+        run_arms(&experiment, std::slice::from_ref(&arm), 1..1 + args.seeds, None, &driver_args)
     };
     let (real, simulated) = (under(Driver::Real)?, under(Driver::Virtual)?);
     let void: Vec<_> = real.iter().filter_map(|run| run.void.as_ref()).collect();
@@ -523,10 +532,10 @@
             continue;
         }
         let differences: Vec<_> = one.iter().zip(&two).map(|(one, two)| one - two).collect();
-        let (mean, half) = interval(&differences);
+        let (mean, half_width) = interval(&differences);
         let average = |values: &[f64]| values.iter().sum::<f64>() / values.len() as f64;
         rows.push(serde_json::json!({"figure": name, "real": average(&one), "virtual": average(&two),
-            "difference": mean, "half_width_95": half, "shown": mean.abs() > half}));
+            "difference": mean, "half_width_95": half_width, "shown": mean.abs() > half_width}));
     }
     let same = real.iter().zip(&simulated).all(|(one, two)| one.draws == two.draws);
     let mut out = io::stdout().lock();
@@ -559,25 +568,25 @@
     Ok(same && void.is_empty())
 }
 
-fn replay(file: &Path, how: &DriverArgs) -> CommandResult {
+fn replay(file: &Path, driver_args: &DriverArgs) -> CommandResult {
     let fault = |place: String, what: String| ExperimentError::Invalid {
         path: file.to_owned(),
         diagnostics: vec![experiment::Diagnostic { location: place, message: what }],
     };
     let text = std::fs::read_to_string(file)
         .map_err(|error| ExperimentError::Unreadable { path: file.to_owned(), error })?;
-    let kept: RecordedResults = serde_json::from_str(&text).map_err(|error| {
-        let what = format!("{error}; expected what run --json wrote");
+    let recorded: RecordedResults = serde_json::from_str(&text).map_err(|error| {
+        let what = format!("{error}; expected a file written by run --json");
         fault(format!("line {}", error.line()), what)
     })?;
     let mut all_same = true;
     let mut out = io::stdout().lock();
-    for run in &kept.runs {
-        let arm = resolve_arm(&kept.experiment, &run.arm)?;
-        let how = DriverArgs { driver: Some(run.driver), ..how.clone() };
-        let again = run_arms(&kept.experiment, &[arm], run.seed..run.seed + 1, None, &how)?;
+    for run in &recorded.runs {
+        let arm = resolve_arm(&recorded.experiment, &run.arm)?;
+        let driver_args = DriverArgs { driver: Some(run.driver), ..driver_args.clone() };
+        let again = run_arms(&recorded.experiment, &[arm], run.seed..run.seed + 1, None, &driver_args)?;
         let Some(again) = again.first() else { return Ok(false) };
-        // What a value could not be written as, it has no place in.
+        // Values that JSON cannot represent are null and are not compared.
         let other = run.figures.iter().find(|(name, value)| {
             let now = again.figures.get(name.as_str()).copied();
             value.is_some() && value.map(f64::to_bits) != now.map(f64::to_bits)
@@ -602,7 +611,7 @@
     Ok(all_same)
 }
 
-/// What an experiment may say, to begin with.
+/// The template written by `init`.
 const TEMPLATE: &str = include_str!("template.toml");
 
 fn init(file: &Path) -> Result<(), Box<dyn Error>> {
@@ -614,7 +623,7 @@
 
 /// Mean and half width of its 95% confidence interval (Student's t).
 fn interval(values: &[f64]) -> (f64, f64) {
-    /// Of one degree of freedom and more; the normal law's past these.
+    /// Quantiles for 1 to 20 degrees of freedom; beyond these the normal approximation is used.
     const T: [f64; 20] = [
         12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
         2.131, 2.120, 2.110, 2.101, 2.093, 2.086,
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports: one HTML page of an experiment's runs that opens offline, with plots over time.
+//! Reports: a self-contained HTML page for the runs of an experiment, with plots over time.
 
 use crate::experiment::{Experiment, ScheduledFault};
 use crate::judge::{NodeState, RunResult as Run, Second, FIGURES};
@@ -11,10 +11,10 @@
 
 const PLOT_WIDTH: u32 = 880;
 const PLOT_HEIGHT: u32 = 210;
-/// A row of a plot of nodes, and the rows at the most.
+/// Row height in a node timeline, and maximum number of rows.
 const ROW_HEIGHT: u32 = 12;
 const MAX_ROWS: usize = 60;
-/// Arms take these in turn.
+/// Colours of the arms, used cyclically.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 93, 160),
     RGBColor(201, 96, 21),
@@ -26,10 +26,10 @@
 
 type SvgResult = Result<String, Box<dyn Error>>;
 
-/// A line of a plot: its name, and a value for each second.
+/// A plotted line: its name and one value per second.
 type Line<'a> = (&'a str, Vec<f64>);
 
-/// Writes the page of an experiment into a folder, and gives back its path.
+/// Writes the page of an experiment into a folder and returns its path.
 pub fn write(folder: &Path, experiment: &Experiment, runs: &[Run]) -> Result<PathBuf, Box<dyn Error>> {
     std::fs::create_dir_all(folder)?;
     let path = folder.join(format!("{}.html", experiment.name));
@@ -103,7 +103,7 @@
     }
 }
 
-/// A fault's name as experiments have it.
+/// The name of a fault as in experiment files.
 fn fault_name(fault: &ScheduledFault) -> String {
     serde_json::to_value(fault.what).ok().and_then(|name| Some(name.as_str()?.to_owned())).unwrap_or_default()
 }
@@ -151,9 +151,9 @@
         @if none { p { "None." } } @else {
             ul {
                 @for run in runs {
-                    @for broken in &run.rules_broken {
-                        li { (run.arm) ", seed " (run.seed) ", " (format!("{:.3} s", broken.at_s)) ", "
-                             b { (broken.rule) } ": " (broken.what) }
+                    @for violation in &run.rules_broken {
+                        li { (run.arm) ", seed " (run.seed) ", " (format!("{:.3} s", violation.at_s)) ", "
+                             b { (violation.rule) } ": " (violation.what) }
                     }
                 }
             }
@@ -175,22 +175,22 @@
         ("99th percentile of it, ms", lines(&|second| second.p99_ms)),
         ("Requests a second", lines(&|second| second.requests.into())),
     ];
-    let mut drawn = Vec::new();
+    let mut rendered = Vec::new();
     for (title, lines) in plots {
-        drawn.push((title.to_owned(), line_plot(experiment, &lines)?));
+        rendered.push((title.to_owned(), line_plot(experiment, &lines)?));
     }
     for run in runs.iter().filter(|run| !run.spans.is_empty()) {
-        drawn.push((
+        rendered.push((
             format!("What nodes did that were not serving, {}", run.arm),
             node_timeline(experiment, run)?,
         ));
     }
-    Ok(drawn)
+    Ok(rendered)
 }
 
 fn line_plot(experiment: &Experiment, lines: &[Line]) -> SvgResult {
     let most = lines.iter().flat_map(|(_, values)| values.iter().copied()).fold(0.0, f64::max);
-    let high = if most > 0.0 { most * 1.08 } else { 1.0 };
+    let height = if most > 0.0 { most * 1.08 } else { 1.0 };
     let length = experiment.length.as_secs_f64();
     let mut svg = String::new();
     {
@@ -199,11 +199,11 @@
             .margin(8)
             .x_label_area_size(24)
             .y_label_area_size(52)
-            .build_cartesian_2d(0.0..length, 0.0..high)?;
+            .build_cartesian_2d(0.0..length, 0.0..height)?;
         chart.configure_mesh().light_line_style(TRANSPARENT).x_desc("s").draw()?;
         for fault in &experiment.fault {
             let (from, to) = (fault.from.as_secs_f64(), fault.to.as_secs_f64());
-            chart.draw_series([Rectangle::new([(from, 0.0), (to, high)], RED.mix(0.08).filled())])?;
+            chart.draw_series([Rectangle::new([(from, 0.0), (to, height)], RED.mix(0.08).filled())])?;
         }
         for (i, (name, values)) in lines.iter().enumerate() {
             let colour = COLOURS[i % COLOURS.len()];
@@ -223,8 +223,8 @@
     Ok(svg)
 }
 
-fn state_style(doing: NodeState) -> (RGBColor, &'static str) {
-    match doing {
+fn state_style(state: NodeState) -> (RGBColor, &'static str) {
+    match state {
         NodeState::Serving => (RGBColor(200, 220, 200), "serving"),
         NodeState::Leaving => (RGBColor(214, 170, 60), "leaving"),
         NodeState::Paused => (RGBColor(120, 120, 190), "standing still"),
@@ -237,13 +237,13 @@
     let mut rows: Vec<_> = run.spans.iter().map(|span| span.node).collect();
     rows.sort_unstable();
     rows.dedup();
-    let left_out = rows.len().saturating_sub(MAX_ROWS);
+    let omitted = rows.len().saturating_sub(MAX_ROWS);
     rows.truncate(MAX_ROWS);
     let length = experiment.length.as_secs_f64();
-    let high = ROW_HEIGHT * rows.len() as u32 + 60;
+    let height = ROW_HEIGHT * rows.len() as u32 + 60;
     let mut svg = String::new();
     {
-        let root = SVGBackend::with_string(&mut svg, (PLOT_WIDTH, high)).into_drawing_area();
+        let root = SVGBackend::with_string(&mut svg, (PLOT_WIDTH, height)).into_drawing_area();
         let mut chart = ChartBuilder::on(&root)
             .margin(8)
             .x_label_area_size(24)
@@ -256,9 +256,9 @@
             .y_labels(rows.len().min(12))
             .y_label_formatter(&label)
             .draw()?;
-        for doing in [NodeState::Leaving, NodeState::Paused, NodeState::Slow, NodeState::Down] {
-            let (fill, name) = state_style(doing);
-            let spans = run.spans.iter().filter(|span| span.state == doing);
+        for state in [NodeState::Leaving, NodeState::Paused, NodeState::Slow, NodeState::Down] {
+            let (fill, name) = state_style(state);
+            let spans = run.spans.iter().filter(|span| span.state == state);
             let bars: Vec<_> = spans
                 .filter_map(|span| {
                     let row = rows.binary_search(&span.node).ok()? as f64;
@@ -278,8 +278,8 @@
             .draw()?;
         root.present()?;
     }
-    if left_out > 0 {
-        write!(svg, "<p>and {left_out} nodes more</p>")?;
+    if omitted > 0 {
+        write!(svg, "<p>and {omitted} nodes more</p>")?;
     }
     Ok(svg)
 }
--- a/lab/tests/cli.rs
+++ b/lab/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The commands of the lab's program, in simulated time.
+//! Command-line interface of the lab, in simulated time.
 
 mod common;
 
@@ -22,20 +22,23 @@
     [[check]]\nname = \"c\"\nfigure = \"served\"\nat_least = 0.1\n";
 
 #[test]
-fn a_run_is_written_drawn_and_replayed_to_the_byte() {
+fn run_writes_json_and_report_and_replays_identically() {
     let folder = Folder::new("replay");
     let path = |name: &str| folder.0.join(name).display().to_string();
     std::fs::write(path("small.toml"), SMALL).unwrap();
     let ran = lab(&["run", &path("small.toml"), "--json", &path("out.json"), "--report", &path("report")]);
     assert_eq!(ran.status.code(), Some(0), "{}", out(&ran));
     let page = std::fs::read_to_string(path("report/small.html")).unwrap();
-    assert_eq!(page.matches("<svg").count(), 8, "six plots over time, and one of nodes for each arm");
+    assert_eq!(page.matches("<svg").count(), 8, "six plots over time, and one node timeline for each arm");
     assert!(page.contains("a &lt;test&gt;") && page.contains("standing still"));
-    assert!(!page.contains("http://") || page.contains("http://www.w3.org/2000/svg"), "it opens offline");
+    assert!(
+        !page.contains("http://") || page.contains("http://www.w3.org/2000/svg"),
+        "the page must not load remote resources"
+    );
     let replayed = lab(&["replay", &path("out.json")]);
     assert_eq!(replayed.status.code(), Some(0), "{}", out(&replayed));
     assert_eq!(out(&replayed).matches("the same to the byte").count(), 2);
-    // One that claims another figure is found out.
+    // A result file with a changed figure is detected.
     let mut written: Value =
         serde_json::from_str(&std::fs::read_to_string(path("out.json")).unwrap()).unwrap();
     written["runs"][0]["figures"]["served"] = 2.into();
@@ -46,7 +49,7 @@
 }
 
 #[test]
-fn what_init_writes_can_be_read_and_is_never_written_over() {
+fn init_writes_a_valid_template_and_never_overwrites_a_file() {
     let folder = Folder::new("init");
     let path = folder.0.join("mine.toml").display().to_string();
     assert_eq!(lab(&["init", &path]).status.code(), Some(0));
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn bad_input_is_told_with_its_place_and_ends_with_2() {
+fn invalid_input_is_reported_with_its_location_and_exits_with_2() {
     let folder = Folder::new("bad");
     let path = folder.0.join("bad.json").display().to_string();
     std::fs::write(&path, "{\n\"experiment\": 3}").unwrap();
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn an_experiment_of_scale_is_run_explained_listed_and_its_faults_are_told() {
+fn scale_experiment_is_run_explained_and_listed_and_invalid_keys_are_reported() {
     let folder = Folder::new("scale");
     let path = |name: &str| folder.0.join(name).display().to_string();
     let text = "name = \"tiny\"\nabout = \"a few peers at rest\"\n\
@@ -81,12 +84,12 @@
     assert_eq!(out(&ran).matches(": holds").count(), 2, "{}", out(&ran));
     let written: Value = serde_json::from_str(&std::fs::read_to_string(path("out.json")).unwrap()).unwrap();
     assert_eq!(written["runs"].as_array().map(Vec::len), Some(2));
-    assert_eq!(written["settings"]["loss"][0], 0.0, "what the file leaves out is written too");
+    assert_eq!(written["settings"]["loss"][0], 0.0, "default values are written too");
     let explained = lab(&["explain", &path("tiny.toml")]);
     assert!(out(&explained).contains("settle = \"1s\"") && out(&explained).contains("peak_bytes_per_s"));
     assert!(out(&lab(&["list", &folder.0.display().to_string()]))
         .contains("tiny                     a few peers"));
-    // One that does not hold ends with 1, one that makes no sense with 2.
+    // A failed check exits with 1, an invalid experiment with 2.
     std::fs::write(path("tiny.toml"), text.replace("at_most = 1000", "at_most = 1")).unwrap();
     let ran = lab(&["run", &path("tiny.toml")]);
     assert_eq!(ran.status.code(), Some(1), "{}", out(&ran));
@@ -100,7 +103,7 @@
 }
 
 #[test]
-fn cases_of_membership_become_series_and_a_table_and_one_that_makes_no_sense_is_refused() {
+fn membership_cases_produce_series_and_a_table_and_inapplicable_cases_are_rejected() {
     let folder = Folder::new("membership");
     let path = folder.0.join("series.json").display().to_string();
     let few = ["--nodes", "4,8", "--settle", "1s", "--rest", "6s", "--loss", "0,0.05"];
--- a/lab/tests/common/mod.rs
+++ b/lab/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests of the lab's programs share. Each of them uses a part of it.
+//! Utilities shared by the integration tests. Each test binary uses a part of them.
 #![allow(dead_code)]
 
 pub mod folder;
 pub mod process;
 
-/// The lab's program.
+/// Path of the lab program.
 pub const LAB: &str = env!("CARGO_BIN_EXE_walkpick-lab");
--- a/lab/tests/common/process.rs
+++ b/lab/tests/common/process.rs
@@ -1,25 +1,25 @@
-//! Processes as the system tells of them, and waiting for what they do.
+//! Process information from `/proc`, and waiting for conditions.
 
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-/// Far longer than anything here takes: a wait that reaches it has failed.
-const PATIENCE: Duration = Duration::from_secs(120);
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Far longer than any wait takes; reaching it is a failure.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until something is found.
+/// Polls until `found` returns a value.
 pub fn wait_for<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(found) = found() {
             return found;
         }
-        assert!(start.elapsed() < PATIENCE, "no {what} within {PATIENCE:?}");
-        std::thread::sleep(LOOK_EVERY);
+        assert!(start.elapsed() < WAIT_TIMEOUT, "no {what} within {WAIT_TIMEOUT:?}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Processes that a process has started.
+/// Ids of the child processes.
 pub fn children(parent: &Child) -> Vec<u32> {
     let path = format!("/proc/{0}/task", parent.id());
     let tasks = std::fs::read_dir(path).into_iter().flatten().flatten();
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// The name of a process's program; none where it is gone, or has ended and was not waited for.
+/// The program name of a process; `None` if it is gone or a zombie.
 pub fn program_of(pid: u32) -> Option<String> {
     let status = std::fs::read(format!("/proc/{pid}/status")).ok()?;
     let status = String::from_utf8_lossy(&status);
--- a/lab/tests/processes.rs
+++ b/lab/tests/processes.rs
@@ -1,5 +1,5 @@
-//! The lab with real processes on loopback sockets. What is waited for are events; limits only bound a hang. Nothing
-//! here judges how fast a machine is.
+//! The lab with real processes on loopback sockets. Tests wait for events; timeouts only bound a hang. Nothing here
+//! depends on the speed of the machine.
 
 mod common;
 
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use walkpick_lab::real::process::Process;
 
-/// A program of the tests. It lies there ready: one that a test has only just written may still be open for writing in a
-/// child of another test, and then it cannot be run.
+/// A script used by the tests. It is checked in, because a script written by a test may still be open for writing in a
+/// child of another test, and then it cannot be executed.
 fn program(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/programs").join(name)
 }
@@ -46,7 +46,7 @@
     std::fs::read_to_string(run.join(format!("{node}.log"))).ok()
 }
 
-/// The log of a node, of the one run in this folder.
+/// The log of a node of the only run in this folder.
 fn log(folder: &Folder, node: &str) -> String {
     let runs = std::fs::read_dir(&folder.0).unwrap().map(|entry| entry.unwrap().path());
     let mut runs = runs.filter(|path| path.is_dir());
@@ -54,8 +54,8 @@
     std::fs::read_to_string(run.join(format!("{node}.log"))).unwrap()
 }
 
-/// Rules that hold however late this machine is.
-fn timeless(result: &Value) -> Vec<&Value> {
+/// Violations of rules that do not depend on timing.
+fn timing_independent_violations(result: &Value) -> Vec<&Value> {
     let broken = result["rules_broken"].as_array().unwrap().iter();
     broken
         .filter(|broken| ["resend", "refusal", "crash"].contains(&broken["rule"].as_str().unwrap()))
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn three_nodes_are_killed_paused_and_told_to_go_and_serve_again() {
+fn nodes_serve_again_after_kill_pause_reload_and_rolling_restart() {
     let folder = Folder::new("faults");
     let faults = "[[fault]]\nwhat = \"node-killed\"\nfrom = \"0s\"\nto = \"1s\"\npart = 0.34\n\
                   [[fault]]\nwhat = \"node-paused\"\nfrom = \"1s\"\nto = \"2s\"\npart = 0.34\n\
@@ -78,21 +78,21 @@
                   [[fault]]\nwhat = \"nodes-rolled\"\nfrom = \"2s\"\nto = \"4s\"\npart = 0.34\n";
     let output = lab(&folder, &small(3, faults), &node()).output().unwrap();
     let result = result(&folder, &output);
-    assert_eq!(timeless(&result), Vec::<&Value>::new());
+    assert_eq!(timing_independent_violations(&result), Vec::<&Value>::new());
     assert!(result["figures"]["served"].as_f64().unwrap() > 0.0, "{result}");
     assert_eq!(result["driver"], "real");
     let logs = ["n0", "n1", "n2"].map(|node| log(&folder, node));
-    let lives: usize = logs.iter().map(|log| log.matches(" listens on ").count()).sum();
-    assert!(lives >= 5, "three starts, one after the kill and one after the roll: {logs:?}");
+    let starts: usize = logs.iter().map(|log| log.matches(" listens on ").count()).sum();
+    assert!(starts >= 5, "three starts, one after the kill and one after the roll: {logs:?}");
     assert!(logs.iter().any(|log| log.contains("told to reload")), "{logs:?}");
     assert!(
         logs.iter().filter(|log| log.contains(" is gone")).count() >= 2,
-        "told to go at the end: {logs:?}"
+        "shut down at the end: {logs:?}"
     );
 }
 
 #[test]
-fn the_same_seed_asks_the_same_of_real_nodes_and_in_simulated_time() {
+fn same_seed_gives_the_same_requests_with_real_nodes_and_in_simulated_time() {
     let folder = Folder::new("draws");
     let faults = "[[fault]]\nwhat = \"link\"\nfrom = \"1s\"\nto = \"3s\"\n[fault.link]\nother_part = 0.5\nsilent = true\n";
     let real = result(&folder, &lab(&folder, &small(3, faults), &node()).output().unwrap());
@@ -105,21 +105,21 @@
 }
 
 #[test]
-fn real_nodes_meet_their_peers_and_an_observer_sees_one_lost_and_back() {
+fn real_nodes_detect_a_lost_peer_and_an_observer_sees_agreement_after_its_return() {
     let folder = Folder::new("peers");
     let faults = "[arm.peers]\npeers = true\n\
                   [[fault]]\nwhat = \"node-killed\"\nfrom = \"2s\"\nto = \"12s\"\npart = 0.25\n";
     let experiment = small(4, faults).replace("5s", "40s");
     let mut child = lab(&folder, &experiment, &node()).stderr(Stdio::null()).spawn().unwrap();
     let logs = || -> Vec<String> {
-        (0..4).map(|i| wait_for("its log", || try_log(&folder, &format!("n{i}")))).collect()
+        (0..4).map(|i| wait_for("node log", || try_log(&folder, &format!("n{i}")))).collect()
     };
     let counts = |text: &str| logs().iter().map(|log| log.matches(text).count()).collect::<Vec<_>>();
-    wait_for("that one is lost to the three others", || {
+    wait_for("report of the lost node by the three others", || {
         (counts("a peer is lost").iter().filter(|count| **count > 0).count() >= 3).then_some(())
     });
     let lost = (0..4).find(|&i| !logs()[i].contains("a peer is lost")).unwrap();
-    wait_for("its return", || (counts(" listens on ")[lost] == 2).then_some(()));
+    wait_for("restart of the lost node", || (counts(" listens on ")[lost] == 2).then_some(()));
     let run =
         std::fs::read_dir(&folder.0).unwrap().map(|entry| entry.unwrap().path()).find(|path| path.is_dir());
     let config = std::fs::read_to_string(run.unwrap().join(format!("n{}.json", (lost + 1) % 3))).unwrap();
@@ -130,7 +130,7 @@
         let output = Command::new(node()).args(arguments).output().unwrap();
         serde_json::from_slice::<Value>(&output.stdout).unwrap()
     };
-    let view = wait_for("four that agree", || {
+    let view = wait_for("agreement of four nodes", || {
         Some(members()).filter(|view| view["nodes"] == 4 && view["agreement"] == "agreed")
     });
     let names: Vec<_> =
@@ -138,18 +138,18 @@
     assert_eq!(names, ["n0", "n1", "n2", "n3"]);
     assert!(Command::new("kill").arg("-INT").arg(child.id().to_string()).status().unwrap().success());
     child.wait().unwrap();
-    // Told to go, each says farewell; the last one has nobody to say it to.
+    // On shutdown each node sends a leave message; the last one has no peer left to receive it.
     assert!(counts("a peer has left").iter().sum::<usize>() > 0);
 }
 
 #[test]
-fn a_lab_that_is_killed_outright_leaves_no_node_behind() {
+fn killed_lab_leaves_no_node_running() {
     let folder = Folder::new("killed");
     let experiment = small(3, "").replace("5s", "100s");
     let mut child = lab(&folder, &experiment, &node()).stderr(Stdio::null()).spawn().unwrap();
     let nodes = wait_for("three nodes", || {
         let nodes = children(&child);
-        // Each is the program by then, and no longer the hold.
+        // Each has executed the node program by then and is no longer the launcher.
         (nodes.len() == 3 && nodes.iter().all(|pid| program_of(*pid).as_deref() == Some("walkpick")))
             .then_some(nodes)
     });
@@ -159,11 +159,11 @@
 }
 
 #[test]
-fn an_interrupted_lab_ends_its_nodes_and_keeps_what_was_measured() {
+fn interrupted_lab_stops_its_nodes_and_writes_partial_results() {
     let folder = Folder::new("interrupted");
     let experiment = small(3, "").replace("5s", "100s");
     let mut child = lab(&folder, &experiment, &node()).stderr(Stdio::null()).spawn().unwrap();
-    wait_for("three nodes that listen", || {
+    wait_for("three listening nodes", || {
         let ready = ["n0", "n1", "n2"].iter().all(|node| {
             let run = std::fs::read_dir(&folder.0)
                 .unwrap()
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_node_that_dies_at_once_is_told_with_its_last_words() {
+fn node_that_exits_at_start_is_reported_with_the_end_of_its_log() {
     let folder = Folder::new("dies");
     let program = program("dies.sh");
     let output = lab(&folder, &small(1, ""), &program).output().unwrap();
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_process_that_ignores_its_end_is_killed() {
+fn process_that_ignores_sigterm_is_killed() {
     let folder = Folder::new("ignores");
     let program = program("ignores.sh");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -206,15 +206,15 @@
         let log = folder.0.join("log");
         let config = folder.write("config", "");
         let mut process = Process::start(Path::new(LAB), &program, &config, &log, || {}).unwrap();
-        wait_for("its word", || std::fs::read_to_string(&log).unwrap().contains("ready").then_some(()));
+        wait_for("ready line", || std::fs::read_to_string(&log).unwrap().contains("ready").then_some(()));
         process.signal(nix::sys::signal::Signal::SIGTERM);
         assert_eq!(process.wait_or_kill(Duration::from_millis(200)).await, None);
-        assert_eq!(process.usage(), None, "it is gone");
+        assert_eq!(process.usage(), None, "the process must be gone");
     });
 }
 
 #[test]
-fn more_nodes_than_descriptors_are_refused_before_anything_starts() {
+fn experiment_that_needs_too_many_descriptors_is_rejected_before_any_process_starts() {
     let folder = Folder::new("descriptors");
     let experiment = small(300, "").replace("servers = 4", "servers = 4000");
     let file = folder.write("experiment.toml", &experiment);
