--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -132,7 +132,7 @@
     /// The node program; default: `walkpick` in the directory of this program
     #[arg(long)]
     node: Option<PathBuf>,
-    /// Directory in which configurations and logs of real nodes are kept; default: they are deleted after the run
+    /// Directory in which configurations and logs of real nodes are kept; default: deleted after a successful run
     #[arg(long)]
     logs: Option<PathBuf>,
     /// A run with real nodes is void if the 99th percentile of event lateness exceeds this, or the maximum ten times this
--- a/lab/src/real/faults.rs
+++ b/lab/src/real/faults.rs
@@ -36,10 +36,10 @@
         }),
         FaultKind::NodesRolled if begins => {
             if let Some(&node) = affected.get(step) {
-                let held = lab.clone();
+                let shared_lab = lab.clone();
                 spawn_tracked(lab, async move {
-                    terminate(held.clone(), node).await;
-                    start(held, node).await;
+                    terminate(shared_lab.clone(), node).await;
+                    start(shared_lab, node).await;
                 });
             }
         }
--- a/lab/src/real/lab.rs
+++ b/lab/src/real/lab.rs
@@ -484,16 +484,14 @@
         let drain_notice =
             notified.map(|notified| DrainNotice { notified_at: notified.2, grace: DRAIN_GRACE });
         let first = self.first_possible_execution(try_id);
-        let action =
-            NodeAction { now, node, try_id: try_id, class: plan.class(self.tries[try_id].request_index) };
+        let action = NodeAction { now, node, try_id, class: plan.class(self.tries[try_id].request_index) };
         self.record.attempt_sent(action, &self.fleet.machines[server].id, drain_notice, first);
     }
 
     /// Checks whether a refusal was allowed.
     pub fn check_refusal(&mut self, plan: &Plan, now: Micros, node: usize, try_id: usize) {
         let may_have_run = self.first_possible_execution(try_id).is_some();
-        let action =
-            NodeAction { now, node, try_id: try_id, class: plan.class(self.tries[try_id].request_index) };
+        let action = NodeAction { now, node, try_id, class: plan.class(self.tries[try_id].request_index) };
         self.record.request_refused(action, may_have_run);
     }
 
--- a/lab/src/real/mod.rs
+++ b/lab/src/real/mod.rs
@@ -228,14 +228,14 @@
 
 /// `healthy`: result of the health check; `None` once the start-up time limit has passed.
 fn startup_finished(lab: &Lab, node: usize, healthy: Option<bool>) -> Result<bool, ProcessError> {
-    let held = &mut lab.state.borrow_mut().nodes[node];
-    let Some(process) = &mut held.process else { return Ok(true) };
-    let (name, log) = (held.name.clone(), process.log_tail());
+    let node_state = &mut lab.state.borrow_mut().nodes[node];
+    let Some(process) = &mut node_state.process else { return Ok(true) };
+    let (name, log) = (node_state.name.clone(), process.log_tail());
     if let Some(status) = process.exit_status() {
         return Err(ProcessError::ExitedEarly { name, status, log });
     }
-    held.ready = healthy.ok_or(ProcessError::NotReady { name, limit: STARTUP_TIMEOUT, log })?;
-    Ok(held.ready)
+    node_state.ready = healthy.ok_or(ProcessError::NotReady { name, limit: STARTUP_TIMEOUT, log })?;
+    Ok(node_state.ready)
 }
 
 /// Records a crash for each process that exited without being stopped by a fault.
--- a/lab/src/real/nodes.rs
+++ b/lab/src/real/nodes.rs
@@ -60,9 +60,9 @@
     let count = lab.state.borrow().nodes.len();
     let address = unique_loopback_address();
     let own = (0..count).map(|_| ReservedUdpPort::new(address)).collect::<io::Result<Vec<_>>>()?;
-    let held = Rc::downgrade(lab);
+    let weak_lab = Rc::downgrade(lab);
     let impairment: PeerImpairment = Rc::new(move |from, to| {
-        let lab = held.upgrade();
+        let lab = weak_lab.upgrade();
         lab.map_or_else(Impairment::default, |lab| lab.state.borrow().links.between_peers(from, to))
     });
     let reached = mesh(own.iter().map(ReservedUdpPort::address).collect(), impairment, lab.plan.seed).await?;
@@ -89,9 +89,9 @@
 }
 
 fn open_agent(lab: &Rc<Lab>, node: usize, link: &Link) -> io::Result<RelayListener> {
-    let held = Rc::downgrade(lab);
+    let weak_lab = Rc::downgrade(lab);
     let handler = move |stream| {
-        if let Some(lab) = held.upgrade() {
+        if let Some(lab) = weak_lab.upgrade() {
             tokio::task::spawn_local(agent::connection(lab, node, stream));
         }
     };
