--- a/lab/src/hollow/children.rs
+++ b/lab/src/hollow/children.rs
@@ -2,7 +2,7 @@
 //! receives theirs.
 
 use super::protocol::{Begin, FromProcess, NodeToOpen, ProcessViews, Report, ToProcess};
-use crate::real::process::{start_held, ProcessError};
+use crate::real::process::{spawn_bound_to_parent, ProcessError};
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -89,7 +89,7 @@
 impl HollowProcess {
     /// Starts a process, which has no nodes yet.
     pub fn start(lab: &Path, process: usize) -> Result<Self, ChildError> {
-        let mut child = start_held(lab, lab, &["hollow-process"])?;
+        let mut child = spawn_bound_to_parent(lab, lab, &["hollow-process"])?;
         let (input, output) = (child.stdin.take(), child.stdout.take());
         let Some(output) = output else {
             return Err(ChildError::Ended {
--- a/lab/src/measure/testbed/mod.rs
+++ b/lab/src/measure/testbed/mod.rs
@@ -6,7 +6,7 @@
 pub mod usage;
 
 use super::{MeasureError, Programs};
-use crate::real::link::Reserved;
+use crate::real::link::ReservedPort;
 use crate::real::process::Process;
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 use nix::sys::signal::Signal;
@@ -82,7 +82,7 @@
     process: Process,
     address: SocketAddr,
     log: PathBuf,
-    _reserved: Reserved,
+    _reserved: ReservedPort,
 }
 
 impl Node {
@@ -94,7 +94,7 @@
         discovery: SocketAddr,
         walkpick_section: Value,
     ) -> Result<Self, MeasureError> {
-        let reserved = Reserved::tcp().map_err(MeasureError::io("a port for the node"))?;
+        let reserved = ReservedPort::tcp().map_err(MeasureError::io("a port for the node"))?;
         let (config, log) =
             (temp_dir.path().join(format!("{name}.json")), temp_dir.path().join(format!("{name}.log")));
         let text = configuration(name, reserved.address(), discovery, walkpick_section).to_string();
@@ -141,7 +141,7 @@
     /// Asks the node to shut down (SIGTERM) and waits for its exit.
     pub async fn stop(mut self) -> Result<(), MeasureError> {
         self.process.signal(Signal::SIGTERM);
-        match self.process.finish(WAIT_TIMEOUT).await {
+        match self.process.wait_or_kill(WAIT_TIMEOUT).await {
             Some(_) => Ok(()),
             None => Err(MeasureError::Timeout("the node's exit")),
         }
