--- a/lab/src/hollow/complete.rs
+++ b/lab/src/hollow/complete.rs
@@ -60,7 +60,7 @@
     pub lab: PathBuf,
     /// Directory of configurations and logs.
     pub folder: PathBuf,
-    /// See [`Options::lateness`].
+    /// See [`Options::max_lateness`].
     pub lateness: Duration,
     /// Location of all complete nodes.
     pub location: Location,
